--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,10 @@
 # The commands of the project; CONTRIBUTING.md says more.
 DEPLOYMENT ?= midlands
 GOLANGCI_VERSION := v2.15.0
+GOPLS_VERSION := v0.23.0
 GOBIN := $(shell go env GOPATH)/bin
 
-.PHONY: build demo scale check test fuzz lint tools soak bench load plots
+.PHONY: build demo scale check test fuzz lint tools gopls soak bench load plots
 
 build:
 	go build -o bin/ ./cmd/...
@@ -17,6 +18,10 @@
 	@$(GOBIN)/golangci-lint version 2>/dev/null | grep -q "$(GOLANGCI_VERSION:v%=%)" || \
 		go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(GOLANGCI_VERSION)
 
+# Renames identifiers with all their uses; CONTRIBUTING.md shows the call.
+gopls:
+	go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 lint:
 	$(GOBIN)/golangci-lint fmt --diff
 	$(GOBIN)/golangci-lint run
