--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/pollencart/pollencart/internal/dispatch"
+	"github.com/pollencart/pollencart/internal/drain"
 	"github.com/pollencart/pollencart/internal/forward"
 	"github.com/pollencart/pollencart/internal/header"
 	"github.com/pollencart/pollencart/internal/ingress"
-	"github.com/pollencart/pollencart/internal/intake"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/peer"
 	"github.com/pollencart/pollencart/internal/place"
@@ -31,7 +31,7 @@
 	opened  []string
 	// elsewhere counts calls that are given up when their link is in doubt.
 	elsewhere int
-	intake    *intake.Intake
+	intake    *drain.Intake
 	asked     []string
 	seen      []forward.Request
 	reply     func(ctx context.Context, address string, in forward.Request) (forward.Reply, error)
@@ -88,7 +88,7 @@
 }
 
 func newFleet(nodes int) *fleet {
-	f := &fleet{dead: map[string]bool{}, intake: intake.New(), reply: answered}
+	f := &fleet{dead: map[string]bool{}, intake: drain.New(), reply: answered}
 	for i := range nodes {
 		f.records = append(f.records, membership.Record{
 			ID: "n" + strconv.Itoa(i), PeerAddress: "a" + strconv.Itoa(i), FailureDomain: "derby",
--- a/internal/intake/intake_test.go
+++ b/internal/drain/drain_test.go
@@ -1,4 +1,4 @@
-package intake_test
+package drain_test
 
 import (
 	"testing"
@@ -6,11 +6,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/intake"
+	"github.com/pollencart/pollencart/internal/drain"
 )
 
 func TestCallsAreTakenByTheirTimeLimit(t *testing.T) {
-	i := intake.New()
+	i := drain.New()
 	now := time.Now()
 	end := now.Add(time.Second)
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,9 +21,9 @@
 	"github.com/pollencart/pollencart/internal/caller"
 	"github.com/pollencart/pollencart/internal/config"
 	"github.com/pollencart/pollencart/internal/credentials"
+	"github.com/pollencart/pollencart/internal/drain"
 	"github.com/pollencart/pollencart/internal/event"
 	"github.com/pollencart/pollencart/internal/gate"
-	"github.com/pollencart/pollencart/internal/intake"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/once"
 	"github.com/pollencart/pollencart/internal/once/attempt"
@@ -46,7 +46,7 @@
 type Node struct {
 	config   config.Config
 	recorder *timeline.Recorder
-	intake   *intake.Intake
+	intake   *drain.Intake
 	inFlight atomic.Int64 // callers' requests
 	// taking ends once calls of callers are refused.
 	taking     context.Context //nolint:containedctx // as long as the node
@@ -92,7 +92,7 @@
 
 // New returns a node that does not listen yet.
 func New(c config.Config, logger *slog.Logger) *Node {
-	n := &Node{config: c, intake: intake.New(), standstill: standstill.New()}
+	n := &Node{config: c, intake: drain.New(), standstill: standstill.New()}
 	n.taking, n.stopTaking = context.WithCancel(context.Background())
 	n.work, n.giveUp = context.WithCancelCause(context.Background())
 	n.recorder = timeline.New(timeline.Node(c.ID), timeline.Logger(logger))
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -28,12 +28,12 @@
 	"github.com/pollencart/pollencart/internal/backend"
 	"github.com/pollencart/pollencart/internal/departures"
 	"github.com/pollencart/pollencart/internal/dispatch"
+	"github.com/pollencart/pollencart/internal/drain"
 	"github.com/pollencart/pollencart/internal/epoch"
 	"github.com/pollencart/pollencart/internal/event"
 	"github.com/pollencart/pollencart/internal/feed"
 	"github.com/pollencart/pollencart/internal/forward"
 	"github.com/pollencart/pollencart/internal/ingress"
-	"github.com/pollencart/pollencart/internal/intake"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/peer"
 	"github.com/pollencart/pollencart/internal/place"
@@ -64,7 +64,7 @@
 	budget   *repeats.Budget
 	recorder *timeline.Recorder
 	meter    *meter.Meter
-	intake   *intake.Intake
+	intake   *drain.Intake
 	// withdrawn is set once other nodes are to send no calls here.
 	withdrawn atomic.Bool
 
@@ -101,7 +101,7 @@
 func New(c config.Config, logger *slog.Logger) *Sidecar {
 	m := meter.New()
 	n := &Sidecar{
-		config: c, budget: repeats.New(boundOf(c)), meter: m, holder: &route.Holder{}, intake: intake.New(), standstill: standstill.New(),
+		config: c, budget: repeats.New(boundOf(c)), meter: m, holder: &route.Holder{}, intake: drain.New(), standstill: standstill.New(),
 		epoch: epoch.New(),
 	}
 	n.settings.Store(&c)
