--- a/internal/place/place.go
+++ b/internal/balancer/balancer.go
@@ -1,4 +1,4 @@
-// Package place decides to which node a call goes.
+// Package balancer decides to which node a call goes.
 //
 // # The load it answers
 //
@@ -24,11 +24,11 @@
 //
 // # Usage
 //
-//	p := place.New("derby")
-//	c, ok := p.Pick(candidates, place.Need{Route: "search", Target: 150 * time.Millisecond})
+//	p := balancer.New("derby")
+//	c, ok := p.Pick(candidates, balancer.Need{Route: "search", Target: 150 * time.Millisecond})
 //	a := p.Start(c.ID, "search")
-//	a.End(place.Answered, reply)
-package place
+//	a.End(balancer.Answered, reply)
+package balancer
 
 import (
 	"math/rand/v2"
--- a/internal/place/place_test.go
+++ b/internal/balancer/balancer_test.go
@@ -1,4 +1,4 @@
-package place_test
+package balancer_test
 
 import (
 	"fmt"
@@ -10,28 +10,28 @@
 
 	"gotest.tools/v3/assert"
 
+	"github.com/pollencart/pollencart/internal/balancer"
 	"github.com/pollencart/pollencart/internal/forward"
-	"github.com/pollencart/pollencart/internal/place"
 )
 
 const ms = time.Millisecond
 
-func nodes(near, far int) []place.Candidate {
-	var out []place.Candidate
+func nodes(near, far int) []balancer.Candidate {
+	var out []balancer.Candidate
 	for i := range near + far {
-		out = append(out, place.Candidate{ID: fmt.Sprintf("n%d", i), Near: i < near, Slots: 9})
+		out = append(out, balancer.Candidate{ID: fmt.Sprintf("n%d", i), Near: i < near, Slots: 9})
 	}
 
 	return out
 }
 
-func need() place.Need {
-	return place.Need{Route: "search", Target: 150 * ms, Deadline: 400 * ms, Idempotent: true}
+func need() balancer.Need {
+	return balancer.Need{Route: "search", Target: 150 * ms, Deadline: 400 * ms, Idempotent: true}
 }
 
 // run sends calls one after the other; held says how long a node takes, or that it
 // fails. It returns how many each node got.
-func run(p *place.Placer, c []place.Candidate, calls int, held func(id string) (place.Result, time.Duration)) map[string]int {
+func run(p *balancer.Placer, c []balancer.Candidate, calls int, held func(id string) (balancer.Result, time.Duration)) map[string]int {
 	got := map[string]int{}
 
 	for range calls {
@@ -52,13 +52,13 @@
 	return got
 }
 
-func well(string) (place.Result, time.Duration) { return place.Answered, 48 * ms }
+func well(string) (balancer.Result, time.Duration) { return balancer.Answered, 48 * ms }
 
 // Bytes between failure domains cost more than anything else. While the own failure
 // domain is on time, only first tries of nodes that were never used cross.
 func TestTheOwnFailureDomainFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := place.New()
+		p := balancer.New()
 		c := nodes(1, 3)
 		run(p, c, 100, well)
 
@@ -71,12 +71,12 @@
 // Calls go elsewhere until the report is old.
 func TestABusyNearNodeSpills(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := place.New()
+		p := balancer.New()
 		c := nodes(1, 3)
 		run(p, c, 200, well)
 
 		a := p.Start("n0", "search")
-		a.End(place.Busy, forward.Reply{Load: forward.Load{Slots: 9, WaitsMs: [forward.Ranks]int64{300, 300, 300}}})
+		a.End(balancer.Busy, forward.Reply{Load: forward.Load{Slots: 9, WaitsMs: [forward.Ranks]int64{300, 300, 300}}})
 
 		chosen, ok := p.Pick(c, need())
 		assert.Assert(t, ok)
@@ -93,15 +93,15 @@
 // elsewhere, and some still reach it, so that it is seen to mend.
 func TestAFailingNodeIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := place.New()
+		p := balancer.New()
 		c := nodes(2, 2)
 		run(p, c, 200, well)
 
 		calls := 0
-		grey := func(id string) (place.Result, time.Duration) {
+		grey := func(id string) (balancer.Result, time.Duration) {
 			if id == "n0" {
 				if calls++; calls%2 == 0 {
-					return place.Failed, 10 * ms
+					return balancer.Failed, 10 * ms
 				}
 			}
 
@@ -123,14 +123,14 @@
 // A host is gone. Calls must not find that out again and again.
 func TestANodeThatCantBeReachedIsLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := place.New()
+		p := balancer.New()
 		c := nodes(2, 1)
 		run(p, c, 100, well)
 
 		start := time.Now()
-		got := run(p, c, 400, func(id string) (place.Result, time.Duration) {
+		got := run(p, c, 400, func(id string) (balancer.Result, time.Duration) {
 			if id == "n0" {
-				return place.Unreached, 0
+				return balancer.Unreached, 0
 			}
 
 			return well(id)
@@ -144,15 +144,15 @@
 // sent on a dead route.
 func TestADeadRouteIsNotTried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := place.New()
+		p := balancer.New()
 		c := nodes(1, 0)
 
 		for range 2 {
-			p.Start("n0", "search").End(place.Unreached, forward.Reply{})
+			p.Start("n0", "search").End(balancer.Unreached, forward.Reply{})
 			time.Sleep(400 * ms)
 		}
 
-		p.Start("n0", "search").End(place.Unreached, forward.Reply{})
+		p.Start("n0", "search").End(balancer.Unreached, forward.Reply{})
 
 		_, ok := p.Pick(c, need())
 		assert.Assert(t, !ok)
@@ -163,7 +163,7 @@
 // others are preferred to it.
 func TestANewNodeGetsSomething(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := place.New()
+		p := balancer.New()
 		run(p, nodes(2, 2), 200, well)
 
 		got := run(p, nodes(2, 3), 100, well)
@@ -175,11 +175,11 @@
 // time beside the other, not the half.
 func TestASlowNodeGetsLess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := place.New()
+		p := balancer.New()
 		c := nodes(2, 0)
-		slow := func(id string) (place.Result, time.Duration) {
+		slow := func(id string) (balancer.Result, time.Duration) {
 			if id == "n0" {
-				return place.Answered, 144 * ms
+				return balancer.Answered, 144 * ms
 			}
 
 			return well(id)
@@ -192,11 +192,11 @@
 
 // BenchmarkPick is one choice among the nodes that a large fleet has for a service.
 func BenchmarkPick(b *testing.B) {
-	p := place.New()
+	p := balancer.New()
 	c := nodes(9, 6)
 
 	for _, n := range c {
-		p.Start(n.ID, "search").End(place.Answered, forward.Reply{HeldMs: 48})
+		p.Start(n.ID, "search").End(balancer.Answered, forward.Reply{HeldMs: 48})
 	}
 
 	b.ReportAllocs()
@@ -213,13 +213,13 @@
 	for name, bytes := range map[string]int{"small": 200, "large": 20_000} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := place.New()
+				p := balancer.New()
 				c := nodes(1, 1)
 				random := rand.New(rand.NewPCG(1, 2))
 				got := map[string]int{}
 
 				for range 500 {
-					chosen, _ := p.Pick(c, place.Need{Route: "search", Target: 150 * ms, Deadline: 400 * ms})
+					chosen, _ := p.Pick(c, balancer.Need{Route: "search", Target: 150 * ms, Deadline: 400 * ms})
 					got[chosen.ID]++
 
 					mean := 48.0
@@ -230,7 +230,7 @@
 					took := time.Duration(mean * math.Exp(0.6*random.NormFloat64()) * float64(ms))
 					a := p.Start(chosen.ID, "search")
 					time.Sleep(took)
-					a.End(place.Answered, forward.Reply{HeldMs: took.Milliseconds(), Body: make([]byte, bytes)})
+					a.End(balancer.Answered, forward.Reply{HeldMs: took.Milliseconds(), Body: make([]byte, bytes)})
 				}
 
 				t.Logf("%v", got)
--- a/internal/place/node.go
+++ b/internal/balancer/node.go
@@ -1,4 +1,4 @@
-package place
+package balancer
 
 import (
 	"math"
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -4,14 +4,14 @@
 	"slices"
 	"time"
 
+	"github.com/pollencart/pollencart/internal/balancer"
 	"github.com/pollencart/pollencart/internal/peer"
-	"github.com/pollencart/pollencart/internal/place"
 )
 
 // candidates are the nodes that the call was not at.
-func (t *try) candidates() []place.Candidate {
+func (t *try) candidates() []balancer.Candidate {
 	reached := t.dispatcher.reach.of(t.request.Service)
-	out := make([]place.Candidate, 0, len(reached))
+	out := make([]balancer.Candidate, 0, len(reached))
 
 	for _, c := range reached {
 		if !slices.Contains(t.tried, c.ID) {
@@ -25,11 +25,11 @@
 // connected leaves out nodes to which there is no connection, and begins to make
 // one. A node that was not called yet is better than none; one whose link is down is
 // not: a call must not be what finds out that a route is dead, again and again.
-func (t *try) connected(all []place.Candidate) []place.Candidate {
+func (t *try) connected(all []balancer.Candidate) []balancer.Candidate {
 	peers := t.dispatcher.options.Peers
-	ready := make([]place.Candidate, 0, len(all))
+	ready := make([]balancer.Candidate, 0, len(all))
 
-	var fresh []place.Candidate
+	var fresh []balancer.Candidate
 
 	for _, c := range all {
 		link := peer.LinkReady
@@ -57,8 +57,8 @@
 	return ready
 }
 
-func (t *try) pick(candidates []place.Candidate) (place.Candidate, bool) {
-	need := place.Need{
+func (t *try) pick(candidates []balancer.Candidate) (balancer.Candidate, bool) {
+	need := balancer.Need{
 		Route: t.route.Name, Rank: t.request.Rank, Target: t.worthIn(), Deadline: t.left(), Bytes: len(t.request.Body),
 		Idempotent: t.request.Idempotent, Tried: t.busy,
 	}
@@ -87,12 +87,12 @@
 
 // nearby reports whether a call that was at no node yet may look for a free slot at another
 // node of the failure domain, which costs no more than its body there.
-func (t *try) nearby(candidates []place.Candidate, chosen place.Candidate) bool {
+func (t *try) nearby(candidates []balancer.Candidate, chosen balancer.Candidate) bool {
 	if !chosen.Near || len(t.request.Body) > cheapBody {
 		return false
 	}
 
-	return slices.ContainsFunc(candidates, func(c place.Candidate) bool {
+	return slices.ContainsFunc(candidates, func(c balancer.Candidate) bool {
 		return c.Near && c.ID != chosen.ID
 	})
 }
--- a/internal/dispatch/options.go
+++ b/internal/dispatch/options.go
@@ -4,11 +4,11 @@
 	"context"
 	"time"
 
+	"github.com/pollencart/pollencart/internal/balancer"
 	"github.com/pollencart/pollencart/internal/forward"
 	"github.com/pollencart/pollencart/internal/header"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/peer"
-	"github.com/pollencart/pollencart/internal/place"
 	"github.com/pollencart/pollencart/internal/repeats"
 	"github.com/pollencart/pollencart/internal/route"
 	"github.com/pollencart/pollencart/internal/timeline"
@@ -67,7 +67,7 @@
 	Members  Members
 	Peers    Peers
 	Own      Runner
-	Placer   *place.Placer
+	Placer   *balancer.Placer
 	Budget   *repeats.Budget
 	Recorder *timeline.Recorder
 	Intake   Intake
--- a/internal/dispatch/reach.go
+++ b/internal/dispatch/reach.go
@@ -7,8 +7,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/pollencart/pollencart/internal/balancer"
 	"github.com/pollencart/pollencart/internal/membership"
-	"github.com/pollencart/pollencart/internal/place"
 )
 
 // maxFar is how many nodes of other failure domains a node calls for a service. With
@@ -30,7 +30,7 @@
 // reached are the nodes to call, and the records that they follow from.
 type reached struct {
 	records    []membership.Record
-	candidates []place.Candidate
+	candidates []balancer.Candidate
 }
 
 func newReach(o Options) *reach {
@@ -40,7 +40,7 @@
 // of returns the nodes that are called for a service: those of the own failure domain and
 // a few others, which differ from node to node, so that all are called by somebody. The
 // slice is shared and must not be changed.
-func (r *reach) of(service string) []place.Candidate {
+func (r *reach) of(service string) []balancer.Candidate {
 	records := r.members.Serving(service)
 
 	r.mu.Lock()
@@ -61,19 +61,19 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func (r *reach) choose(records []membership.Record) []place.Candidate {
+func (r *reach) choose(records []membership.Record) []balancer.Candidate {
 	type placed struct {
-		place.Candidate
+		balancer.Candidate
 		distance uint64
 	}
 
 	var (
-		out []place.Candidate // near ones first
+		out []balancer.Candidate // near ones first
 		far []placed
 	)
 
 	for _, m := range records {
-		c := place.Candidate{
+		c := balancer.Candidate{
 			ID: m.ID, Address: m.PeerAddress, Slots: m.Upstream.Slots, Near: m.FailureDomain == r.failureDomain, Own: m.ID == r.node,
 		}
 		if c.Near {
--- a/internal/dispatch/try.go
+++ b/internal/dispatch/try.go
@@ -6,11 +6,11 @@
 	"net/http"
 	"time"
 
+	"github.com/pollencart/pollencart/internal/balancer"
 	"github.com/pollencart/pollencart/internal/event"
 	"github.com/pollencart/pollencart/internal/forward"
 	"github.com/pollencart/pollencart/internal/ingress"
 	"github.com/pollencart/pollencart/internal/peer"
-	"github.com/pollencart/pollencart/internal/place"
 	"github.com/pollencart/pollencart/internal/repeats"
 	"github.com/pollencart/pollencart/internal/route"
 	"github.com/pollencart/pollencart/internal/timeline"
@@ -66,7 +66,7 @@
 }
 
 // ask hands the call to a node and notes what came of it.
-func (t *try) ask(c place.Candidate) forward.Reply {
+func (t *try) ask(c balancer.Candidate) forward.Reply {
 	d := t.dispatcher
 	t.outcome.Asked++
 	t.outcome.Node = c.ID
@@ -91,7 +91,7 @@
 }
 
 // note keeps what the choice of the next node depends on.
-func (t *try) note(c place.Candidate, reply forward.Reply) {
+func (t *try) note(c balancer.Candidate, reply forward.Reply) {
 	t.last = reply
 
 	if reply.Elsewhere() {
@@ -115,7 +115,7 @@
 	}
 }
 
-func (t *try) send(c place.Candidate) (forward.Reply, error) {
+func (t *try) send(c balancer.Candidate) (forward.Reply, error) {
 	if c.Own {
 		return t.dispatcher.options.Own.Serve(t.ctx, t.request)
 	}
@@ -151,23 +151,23 @@
 }
 
 // resultOf says what the reply tells of the node.
-func (t *try) resultOf(reply forward.Reply, err error) place.Result {
+func (t *try) resultOf(reply forward.Reply, err error) balancer.Result {
 	switch {
 	case errors.Is(t.ctx.Err(), context.Canceled):
-		return place.Abandoned
+		return balancer.Abandoned
 	case t.ctx.Err() != nil:
-		return place.Failed // no word of the node in all the time
+		return balancer.Failed // no word of the node in all the time
 	case err != nil:
-		return place.Unreached
+		return balancer.Unreached
 	case reply.Result == forward.Refused && reply.Reason == forward.ReasonNone:
-		return place.Unreached
+		return balancer.Unreached
 	case reply.Result == forward.Refused, reply.Result == forward.Suspected:
-		return place.Busy
+		return balancer.Busy
 	case reply.Result == forward.Answered && reply.Status < http.StatusInternalServerError:
-		return place.Answered
+		return balancer.Answered
 	}
 
-	return place.Failed
+	return balancer.Failed
 }
 
 // settled reports whether the reply is what the caller gets.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -26,6 +26,7 @@
 
 	"github.com/pollencart/pollencart/internal/announce"
 	"github.com/pollencart/pollencart/internal/backend"
+	"github.com/pollencart/pollencart/internal/balancer"
 	"github.com/pollencart/pollencart/internal/departures"
 	"github.com/pollencart/pollencart/internal/dispatch"
 	"github.com/pollencart/pollencart/internal/drain"
@@ -36,7 +37,6 @@
 	"github.com/pollencart/pollencart/internal/ingress"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/peer"
-	"github.com/pollencart/pollencart/internal/place"
 	"github.com/pollencart/pollencart/internal/poison"
 	"github.com/pollencart/pollencart/internal/rendezvous"
 	"github.com/pollencart/pollencart/internal/repeats"
@@ -163,7 +163,7 @@
 	c := n.config
 	n.entry = dispatch.New(dispatch.Options{
 		Node: c.Node, FailureDomain: c.FailureDomain, Service: c.Service, Names: platform.Headers(), Tables: n.holder,
-		Members: n.table, Peers: n.client, Own: n.runner, Placer: place.New(), Recorder: n.recorder, Meter: n.meter,
+		Members: n.table, Peers: n.client, Own: n.runner, Placer: balancer.New(), Recorder: n.recorder, Meter: n.meter,
 		Budget: n.budget, Intake: n.intake,
 	})
 	n.ingress = ingress.New(n.entry, ingress.Limits(n.holder), ingress.WithObserver(deliveries{n.recorder, n.meter}))
