--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -36,7 +36,7 @@
 	"sync"
 	"time"
 
-	"github.com/pollencart/pollencart/internal/draw"
+	"github.com/pollencart/pollencart/internal/reservoir"
 )
 
 const (
@@ -147,7 +147,7 @@
 	defer p.mu.Unlock()
 
 	now := time.Now()
-	var near, far draw.Two[drawn]
+	var near, far reservoir.Two[drawn]
 
 	spare := choice{}
 
@@ -191,7 +191,7 @@
 }
 
 // better returns the cheaper of the two that were drawn.
-func (p *Placer) better(d draw.Two[drawn], n Need, now time.Time) choice {
+func (p *Placer) better(d reservoir.Two[drawn], n Need, now time.Time) choice {
 	var out choice
 
 	both, count := d.Both()
--- a/internal/draw/draw.go
+++ b/internal/reservoir/reservoir.go
@@ -1,10 +1,10 @@
-// Package draw takes two of many at random, by weight, in one pass and without
+// Package reservoir takes two of many at random, by weight, in one pass and without
 // memory of its own.
 //
-//	var d draw.Two[string]
+//	var d reservoir.Two[string]
 //	d.Add("a", rand.ExpFloat64()/weight)
 //	first, ok := d.First()
-package draw
+package reservoir
 
 // Two keeps the two values with the lowest keys. With keys that are exponentially
 // distributed, each value is drawn by the inverse of its key's mean.
--- a/internal/draw/draw_test.go
+++ b/internal/reservoir/reservoir_test.go
@@ -1,4 +1,4 @@
-package draw_test
+package reservoir_test
 
 import (
 	"math/rand/v2"
@@ -6,11 +6,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/draw"
+	"github.com/pollencart/pollencart/internal/reservoir"
 )
 
 func TestTheTwoLowest(t *testing.T) {
-	var d draw.Two[string]
+	var d reservoir.Two[string]
 
 	_, ok := d.First()
 	assert.Assert(t, !ok)
@@ -34,7 +34,7 @@
 	heavy := 0
 
 	for range 10_000 {
-		var d draw.Two[int]
+		var d reservoir.Two[int]
 
 		d.Add(1, random.ExpFloat64())
 		d.Add(3, random.ExpFloat64()/3)
--- a/internal/selection/selection.go
+++ b/internal/selection/selection.go
@@ -37,7 +37,7 @@
 	"time"
 
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/draw"
+	"github.com/pollencart/pollencart/internal/reservoir"
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
@@ -108,8 +108,8 @@
 	g.picks++
 
 	var (
-		draws [tiers]draw.Two[drawn]
-		spare draw.Two[drawn]
+		draws [tiers]reservoir.Two[drawn]
+		spare reservoir.Two[drawn]
 	)
 
 	for i := range candidates {
@@ -152,7 +152,7 @@
 }
 
 // cheapest compares the two that were drawn from each tier.
-func (s *Selector) cheapest(draws *[tiers]draw.Two[drawn], g *group, n Need, now time.Time) drawn {
+func (s *Selector) cheapest(draws *[tiers]reservoir.Two[drawn], g *group, n Need, now time.Time) drawn {
 	var (
 		best drawn
 		cost time.Duration
