--- a/internal/nested/nested.go
+++ b/internal/nestedcall/nestedcall.go
@@ -1,4 +1,4 @@
-// Package nested tells the calls that backend servers make, while they run a call, from
+// Package nestedcall tells the calls that backend servers make, while they run a call, from
 // those of callers outside.
 //
 // # What goes wrong without it
@@ -17,9 +17,9 @@
 //
 // # Usage
 //
-//	routes := nested.New()
+//	routes := nestedcall.New()
 //	if routes.Note("check", "browse") { ... } // a call of this route is a nested one
-package nested
+package nestedcall
 
 import (
 	"sync"
--- a/internal/nested/nested_test.go
+++ b/internal/nestedcall/nestedcall_test.go
@@ -1,4 +1,4 @@
-package nested_test
+package nestedcall_test
 
 import (
 	"math/rand/v2"
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/nested"
+	"github.com/pollencart/pollencart/internal/nestedcall"
 )
 
 // callers are on hosts of these services, three in five of the same one.
@@ -21,7 +21,7 @@
 // nested.
 func TestCallsOfBackendServersAreTold(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	routes := nested.New()
+	routes := nestedcall.New()
 	told, wrong := 0, 0
 
 	for range 10000 {
@@ -34,7 +34,7 @@
 		}
 	}
 
-	assert.Assert(t, told > 10000-2*nested.Enough, "%d", told)
+	assert.Assert(t, told > 10000-2*nestedcall.Enough, "%d", told)
 	assert.Equal(t, wrong, 0)
 }
 
@@ -42,7 +42,7 @@
 // that is cut off. Its callers are not taken for backend servers.
 func TestHostsOfOneServiceOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		routes := nested.New()
+		routes := nestedcall.New()
 		routes.Note("upload", "ledger")
 		routes.Note("upload", "browse")
 		time.Sleep(2 * time.Second)
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -19,7 +19,7 @@
 	"github.com/pollencart/pollencart/internal/call"
 	"github.com/pollencart/pollencart/internal/event"
 	"github.com/pollencart/pollencart/internal/forward"
-	"github.com/pollencart/pollencart/internal/nested"
+	"github.com/pollencart/pollencart/internal/nestedcall"
 	"github.com/pollencart/pollencart/internal/poison"
 	"github.com/pollencart/pollencart/internal/slots"
 	"github.com/pollencart/pollencart/internal/timeline"
@@ -61,13 +61,13 @@
 // Runner runs calls on one backend server.
 type Runner struct {
 	options Options
-	nested  *nested.Routes
+	nested  *nestedcall.Routes
 	closed  atomic.Bool
 	busy    atomic.Int64
 }
 
 // New returns a runner.
-func New(o Options) *Runner { return &Runner{options: o, nested: nested.New()} }
+func New(o Options) *Runner { return &Runner{options: o, nested: nestedcall.New()} }
 
 // Close turns away what waits and what comes from now on; what the backend server runs
 // goes on.
