--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -15,7 +15,7 @@
 	"github.com/pollencart/pollencart/internal/once"
 	"github.com/pollencart/pollencart/internal/once/key"
 	"github.com/pollencart/pollencart/internal/peer"
-	"github.com/pollencart/pollencart/internal/standstill"
+	"github.com/pollencart/pollencart/internal/stall"
 	"github.com/pollencart/pollencart/internal/timeline"
 	"github.com/pollencart/pollencart/pkg/errs"
 )
@@ -132,7 +132,7 @@
 	if e.options.Standstill.Resumed() {
 		e.options.Recorder.Record(event.EntryStoodStill, timeline.Entry{Call: c.ID, Key: c.Key})
 
-		return "", "", call.Refuse(ErrStoodStill, call.RanUnknown, standstill.Settle).WithNotForwarded()
+		return "", "", call.Refuse(ErrStoodStill, call.RanUnknown, stall.Settle).WithNotForwarded()
 	}
 
 	return node, life, nil
--- a/internal/caller/options.go
+++ b/internal/caller/options.go
@@ -10,7 +10,7 @@
 	"github.com/pollencart/pollencart/internal/once/key"
 	"github.com/pollencart/pollencart/internal/peer"
 	"github.com/pollencart/pollencart/internal/selection"
-	"github.com/pollencart/pollencart/internal/standstill"
+	"github.com/pollencart/pollencart/internal/stall"
 	"github.com/pollencart/pollencart/internal/timeline"
 	"github.com/pollencart/pollencart/pkg/settings"
 )
@@ -76,7 +76,7 @@
 	Nodes    Finder
 	Shards   Owners
 	// Standstill notices when this process stands still.
-	Standstill *standstill.Watchdog
+	Standstill *stall.Watchdog
 }
 
 // Option sets an option.
@@ -89,7 +89,7 @@
 		Intake:   drain.New(),
 		Shards:   noOwners{},
 
-		Standstill: standstill.New(),
+		Standstill: stall.New(),
 	}
 	for _, opt := range opts {
 		opt(&o)
@@ -133,4 +133,4 @@
 func Shards(s Owners) Option { return func(o *Options) { o.Shards = s } }
 
 // Standstill sets what notices when this process stands still.
-func Standstill(w *standstill.Watchdog) Option { return func(o *Options) { o.Standstill = w } }
+func Standstill(w *stall.Watchdog) Option { return func(o *Options) { o.Standstill = w } }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,7 +33,7 @@
 	"github.com/pollencart/pollencart/internal/poison"
 	"github.com/pollencart/pollencart/internal/selection"
 	"github.com/pollencart/pollencart/internal/spread"
-	"github.com/pollencart/pollencart/internal/standstill"
+	"github.com/pollencart/pollencart/internal/stall"
 	"github.com/pollencart/pollencart/internal/timeline"
 	"github.com/pollencart/pollencart/internal/upstream"
 	"github.com/pollencart/pollencart/pkg/errs"
@@ -82,7 +82,7 @@
 	suspects *poison.Watch
 	serves   string // the service of the backend server that announced itself last
 	// standstill notices when this process stands still.
-	standstill *standstill.Watchdog
+	standstill *stall.Watchdog
 
 	listeners      []net.Listener
 	callerListener net.Listener
@@ -92,7 +92,7 @@
 
 // New returns a node that does not listen yet.
 func New(c config.Config, logger *slog.Logger) *Node {
-	n := &Node{config: c, intake: drain.New(), standstill: standstill.New()}
+	n := &Node{config: c, intake: drain.New(), standstill: stall.New()}
 	n.taking, n.stopTaking = context.WithCancel(context.Background())
 	n.work, n.giveUp = context.WithCancelCause(context.Background())
 	n.recorder = timeline.New(timeline.Node(c.ID), timeline.Logger(logger))
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -45,7 +45,7 @@
 	"github.com/pollencart/pollencart/internal/sidecar/config"
 	"github.com/pollencart/pollencart/internal/sidecar/meter"
 	"github.com/pollencart/pollencart/internal/slots"
-	"github.com/pollencart/pollencart/internal/standstill"
+	"github.com/pollencart/pollencart/internal/stall"
 	"github.com/pollencart/pollencart/internal/timeline"
 	"github.com/pollencart/pollencart/platform"
 )
@@ -85,7 +85,7 @@
 	pool  *backend.Pool
 	watch *poison.Watch
 	// standstill notices when this process stands still.
-	standstill *standstill.Watchdog
+	standstill *stall.Watchdog
 	runner     *runner.Runner
 	entry      *dispatch.Dispatcher
 	ingress    *ingress.Server
@@ -101,7 +101,7 @@
 func New(c config.Config, logger *slog.Logger) *Sidecar {
 	m := meter.New()
 	n := &Sidecar{
-		config: c, budget: repeats.New(boundOf(c)), meter: m, holder: &route.Holder{}, intake: drain.New(), standstill: standstill.New(),
+		config: c, budget: repeats.New(boundOf(c)), meter: m, holder: &route.Holder{}, intake: drain.New(), standstill: stall.New(),
 		epoch: epoch.New(),
 	}
 	n.settings.Store(&c)
--- a/internal/standstill/standstill.go
+++ b/internal/stall/stall.go
@@ -1,4 +1,4 @@
-// Package standstill notices that the process stood still: it was frozen, or its host
+// Package stall notices that the process stood still: it was frozen, or its host
 // was.
 //
 // A process that wakes reads what waited in its sockets as if it were new, and does not
@@ -7,10 +7,10 @@
 //
 // # Usage
 //
-//	w := standstill.New()
+//	w := stall.New()
 //	go w.Run(ctx)
 //	if w.Resumed() { ... } // within Settle of waking
-package standstill
+package stall
 
 import (
 	"context"
