--- a/internal/dispatch/options.go
+++ b/internal/dispatch/options.go
@@ -9,7 +9,7 @@
 	"github.com/pollencart/pollencart/internal/header"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/peer"
-	"github.com/pollencart/pollencart/internal/repeats"
+	"github.com/pollencart/pollencart/internal/retrybudget"
 	"github.com/pollencart/pollencart/internal/route"
 	"github.com/pollencart/pollencart/internal/timeline"
 )
@@ -68,7 +68,7 @@
 	Peers    Peers
 	Own      Runner
 	Placer   *balancer.Placer
-	Budget   *repeats.Budget
+	Budget   *retrybudget.Budget
 	Recorder *timeline.Recorder
 	Intake   Intake
 	Meter    Meter
--- a/internal/dispatch/reach_test.go
+++ b/internal/dispatch/reach_test.go
@@ -13,7 +13,7 @@
 	"github.com/pollencart/pollencart/internal/drain"
 	"github.com/pollencart/pollencart/internal/header"
 	"github.com/pollencart/pollencart/internal/membership"
-	"github.com/pollencart/pollencart/internal/repeats"
+	"github.com/pollencart/pollencart/internal/retrybudget"
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
@@ -34,7 +34,7 @@
 
 	return dispatch.New(dispatch.Options{
 		Node: "host-of-the-caller", FailureDomain: "derby-0", Service: "finder", Names: header.Default(), Tables: holder(tb), Members: table,
-		Peers: f, Placer: balancer.New(), Budget: repeats.New(repeats.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}),
+		Peers: f, Placer: balancer.New(), Budget: retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}),
 		Recorder: timeline.New(), Intake: drain.New(),
 	}), f, table
 }
--- a/internal/dispatch/try.go
+++ b/internal/dispatch/try.go
@@ -11,7 +11,7 @@
 	"github.com/pollencart/pollencart/internal/forward"
 	"github.com/pollencart/pollencart/internal/ingress"
 	"github.com/pollencart/pollencart/internal/peer"
-	"github.com/pollencart/pollencart/internal/repeats"
+	"github.com/pollencart/pollencart/internal/retrybudget"
 	"github.com/pollencart/pollencart/internal/route"
 	"github.com/pollencart/pollencart/internal/timeline"
 )
@@ -207,9 +207,9 @@
 		return false
 	}
 
-	margin := repeats.Margin
+	margin := retrybudget.Margin
 	if reply.Result == forward.Answered {
-		margin = repeats.FailedMargin
+		margin = retrybudget.FailedMargin
 	}
 
 	d := t.dispatcher
--- a/internal/repeats/repeats.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,4 +1,4 @@
-// Package repeats bounds how often this node sends a call to a second backend
+// Package retrybudget bounds how often this node sends a call to a second backend
 // server.
 //
 // # The load it answers
@@ -13,10 +13,10 @@
 //
 // # Usage
 //
-//	b := repeats.New(repeats.Bound{Ratio: 0.2, Slack: 58, Window: 10 * time.Second})
+//	b := retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 58, Window: 10 * time.Second})
 //	b.First("browse")
-//	if b.Again("browse", repeats.Margin, nodes) { ... }
-package repeats
+//	if b.Again("browse", retrybudget.Margin, nodes) { ... }
+package retrybudget
 
 import (
 	"sync"
--- a/internal/repeats/repeats_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -1,4 +1,4 @@
-package repeats_test
+package retrybudget_test
 
 import (
 	"testing"
@@ -7,10 +7,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/repeats"
+	"github.com/pollencart/pollencart/internal/retrybudget"
 )
 
-var bound = repeats.Bound{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}
+var bound = retrybudget.Bound{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}
 
 // All backend servers of a service fail. Twelve nodes that know nothing of each other
 // repeat all that they may, and together stay within their part of the bound in every
@@ -19,9 +19,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 12
 
-		var budgets []*repeats.Budget
+		var budgets []*retrybudget.Budget
 		for range nodes {
-			budgets = append(budgets, repeats.New(bound))
+			budgets = append(budgets, retrybudget.New(bound))
 		}
 
 		const seconds = 40
@@ -34,7 +34,7 @@
 					b.First("ledger")
 					calls[second]++
 
-					if b.Again("ledger", repeats.Margin, nodes) {
+					if b.Again("ledger", retrybudget.Margin, nodes) {
 						again[second]++
 					}
 				}
@@ -49,7 +49,7 @@
 				c, a = c+calls[i], a+again[i]
 			}
 
-			assert.Assert(t, float64(a) <= repeats.Margin*(bound.Ratio*float64(c)+bound.Slack)+nodes, "%d of %d", a, c)
+			assert.Assert(t, float64(a) <= retrybudget.Margin*(bound.Ratio*float64(c)+bound.Slack)+nodes, "%d of %d", a, c)
 			assert.Assert(t, a > 0)
 		}
 	})
@@ -58,13 +58,13 @@
 // What was counted long ago does not let repeats through now.
 func TestOldCallsDoNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := repeats.New(repeats.Bound{Ratio: 0.2, Window: 10 * time.Second})
+		b := retrybudget.New(retrybudget.Bound{Ratio: 0.2, Window: 10 * time.Second})
 		for range 100 {
 			b.First("a")
 		}
 
-		assert.Assert(t, b.Again("a", repeats.Margin, 1))
+		assert.Assert(t, b.Again("a", retrybudget.Margin, 1))
 		time.Sleep(11 * time.Second)
-		assert.Assert(t, !b.Again("a", repeats.Margin, 1))
+		assert.Assert(t, !b.Again("a", retrybudget.Margin, 1))
 	})
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/pollencart/pollencart/internal/event"
-	"github.com/pollencart/pollencart/internal/repeats"
+	"github.com/pollencart/pollencart/internal/retrybudget"
 	"github.com/pollencart/pollencart/internal/sidecar/config"
 	"github.com/pollencart/pollencart/internal/timeline"
 )
@@ -80,8 +80,8 @@
 	n.recorder.Record(event.SettingsRead, timeline.Entry{Detail: detail})
 }
 
-func boundOf(c config.Config) repeats.Bound {
-	return repeats.Bound{
+func boundOf(c config.Config) retrybudget.Bound {
+	return retrybudget.Bound{
 		Ratio: c.Bounds.RetryRatio, Slack: c.Bounds.RetrySlack, Window: config.Seconds(c.Bounds.RetryWindowSeconds),
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -39,7 +39,7 @@
 	"github.com/pollencart/pollencart/internal/peer"
 	"github.com/pollencart/pollencart/internal/poison"
 	"github.com/pollencart/pollencart/internal/rendezvous"
-	"github.com/pollencart/pollencart/internal/repeats"
+	"github.com/pollencart/pollencart/internal/retrybudget"
 	"github.com/pollencart/pollencart/internal/route"
 	"github.com/pollencart/pollencart/internal/runner"
 	"github.com/pollencart/pollencart/internal/sidecar/config"
@@ -61,7 +61,7 @@
 type Sidecar struct {
 	config   config.Config                 // as at the start
 	settings atomic.Pointer[config.Config] // as read last
-	budget   *repeats.Budget
+	budget   *retrybudget.Budget
 	recorder *timeline.Recorder
 	meter    *meter.Meter
 	intake   *drain.Intake
@@ -101,7 +101,7 @@
 func New(c config.Config, logger *slog.Logger) *Sidecar {
 	m := meter.New()
 	n := &Sidecar{
-		config: c, budget: repeats.New(boundOf(c)), meter: m, holder: &route.Holder{}, intake: drain.New(), standstill: stall.New(),
+		config: c, budget: retrybudget.New(boundOf(c)), meter: m, holder: &route.Holder{}, intake: drain.New(), standstill: stall.New(),
 		epoch: epoch.New(),
 	}
 	n.settings.Store(&c)
