--- a/internal/rendezvous/rendezvous.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package rendezvous lets nodes find each other through leased records in the
+// Package discovery lets nodes find each other through leased records in the
 // platform's store.
 //
 // A few nodes of each failure domain have a record with their peer address, which ends
@@ -8,9 +8,9 @@
 // comes back from an older copy gives out the numbers of leases again; a renewal would be
 // another node's, so records are written again with leases of the new epoch.
 //
-//	r := rendezvous.New(store, table, gossip.Meet)
+//	r := discovery.New(store, table, gossip.Meet)
 //	go r.Run(ctx)
-package rendezvous
+package discovery
 
 import (
 	"context"
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package rendezvous_test
+package discovery_test
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"github.com/pollencart/pollencart/internal/discovery"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/platform"
-	"github.com/pollencart/pollencart/internal/rendezvous"
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
@@ -163,7 +163,7 @@
 
 	var out []string
 	for key := range s.keys {
-		out = append(out, strings.TrimPrefix(key, rendezvous.Prefix))
+		out = append(out, strings.TrimPrefix(key, discovery.Prefix))
 	}
 
 	return out
@@ -183,7 +183,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	_, ok := s.keys[rendezvous.Prefix+id]
+	_, ok := s.keys[discovery.Prefix+id]
 
 	return ok
 }
@@ -220,7 +220,7 @@
 	)
 
 	known := table(id)
-	r := rendezvous.New(s, known, func(_ context.Context, address string) bool {
+	r := discovery.New(s, known, func(_ context.Context, address string) bool {
 		mu.Lock()
 		defer mu.Unlock()
 
@@ -313,7 +313,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		for i, value := range []string{`{"Address":7}`, `{"FailureDomain":"derby"}`, `{"Address":"nowhere"}`, "\xff\x00{", `[]`, ``} {
-			key := rendezvous.Prefix + strconv.Itoa(i)
+			key := discovery.Prefix + strconv.Itoa(i)
 			s.keys[key] = platform.Entry{Key: key, Value: []byte(value), Revision: 5}
 		}
 
@@ -323,7 +323,7 @@
 		recorder := timeline.New()
 		var met []string
 
-		r := rendezvous.New(s, table("n2"), func(_ context.Context, address string) bool {
+		r := discovery.New(s, table("n2"), func(_ context.Context, address string) bool {
 			met = append(met, address)
 
 			return true
@@ -345,9 +345,9 @@
 	f.Add([]byte(`{"Address":""}`))
 	f.Add([]byte(`{"Address":{}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, err := rendezvous.DecodeRecord(data)
+		r, err := discovery.DecodeRecord(data)
 		if err != nil {
-			assert.ErrorIs(t, err, rendezvous.ErrRecord)
+			assert.ErrorIs(t, err, discovery.ErrRecord)
 
 			return
 		}
--- a/internal/rendezvous/drill_test.go
+++ b/internal/discovery/drill_test.go
@@ -1,4 +1,4 @@
-package rendezvous_test
+package discovery_test
 
 import (
 	"context"
--- a/internal/rendezvous/meet.go
+++ b/internal/discovery/meet.go
@@ -1,4 +1,4 @@
-package rendezvous
+package discovery
 
 import (
 	"context"
--- a/internal/rendezvous/meetings_test.go
+++ b/internal/discovery/meetings_test.go
@@ -1,4 +1,4 @@
-package rendezvous_test
+package discovery_test
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"github.com/pollencart/pollencart/internal/discovery"
 	"github.com/pollencart/pollencart/internal/epoch"
 	"github.com/pollencart/pollencart/internal/membership"
-	"github.com/pollencart/pollencart/internal/rendezvous"
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
@@ -47,7 +47,7 @@
 	t.Helper()
 
 	meet := func(_ context.Context, to string) bool { return g.meet(id, domain, to) }
-	r := rendezvous.New(s.at(g.epochs[id]), g.tables[id], meet, g.told[id], true).WithEpoch(g.epochs[id])
+	r := discovery.New(s.at(g.epochs[id]), g.tables[id], meet, g.told[id], true).WithEpoch(g.epochs[id])
 	ctx, cancel := context.WithCancel(context.Background())
 	g.stop[id] = cancel
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -3,7 +3,7 @@
 // what must last.
 //
 // A call comes in at ingress, dispatch chooses a node for it, and runner on that
-// node lets it in to the backend server. Nodes find each other by rendezvous and
+// node lets it in to the backend server. Nodes find each other by discovery and
 // know each other by membership; feed brings the configuration; announce follows
 // the backend server on the host, and departures keeps its leaving.
 //
@@ -28,6 +28,7 @@
 	"github.com/pollencart/pollencart/internal/backend"
 	"github.com/pollencart/pollencart/internal/balancer"
 	"github.com/pollencart/pollencart/internal/departures"
+	"github.com/pollencart/pollencart/internal/discovery"
 	"github.com/pollencart/pollencart/internal/dispatch"
 	"github.com/pollencart/pollencart/internal/drain"
 	"github.com/pollencart/pollencart/internal/epoch"
@@ -38,7 +39,6 @@
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/peer"
 	"github.com/pollencart/pollencart/internal/poison"
-	"github.com/pollencart/pollencart/internal/rendezvous"
 	"github.com/pollencart/pollencart/internal/retrybudget"
 	"github.com/pollencart/pollencart/internal/route"
 	"github.com/pollencart/pollencart/internal/runner"
@@ -77,7 +77,7 @@
 	store      *platform.Store
 	holder     *route.Holder
 	feed       *feed.Feed
-	rendezvous *rendezvous.Rendezvous
+	rendezvous *discovery.Rendezvous
 	departures *departures.Departures
 
 	host  *announce.Host
@@ -138,7 +138,7 @@
 	n.gossip = membership.NewGossip(
 		n.table, n.client, membership.Version(n.holder.Number), membership.Hear(n.feed.Hear), membership.WithEpochs(n.epoch),
 	)
-	n.rendezvous = rendezvous.New(n.store, n.table, n.gossip.Meet, n.recorder, c.FirstStart).WithEpoch(n.epoch)
+	n.rendezvous = discovery.New(n.store, n.table, n.gossip.Meet, n.recorder, c.FirstStart).WithEpoch(n.epoch)
 	n.departures = departures.New(n.store, n.client, n.table).WithEpoch(n.epoch, n.recorder)
 }
 
