--- a/internal/feed/feed.go
+++ b/internal/configsync/configsync.go
@@ -1,4 +1,4 @@
-// Package feed brings the operator's configuration from the platform's store to
+// Package configsync brings the operator's configuration from the platform's store to
 // every node.
 //
 // Two nodes of each failure domain, the watchers, wait on the store for changes of
@@ -26,10 +26,10 @@
 //
 // # Usage
 //
-//	f := feed.New(feed.Options{...})
+//	f := configsync.New(configsync.Options{...})
 //	f.Register(server)
 //	go f.Run(ctx)
-package feed
+package configsync
 
 import (
 	"context"
--- a/internal/feed/delta.go
+++ b/internal/configsync/delta.go
@@ -1,4 +1,4 @@
-package feed
+package configsync
 
 import (
 	"net/http"
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -4,7 +4,7 @@
 //
 // A call comes in at ingress, dispatch chooses a node for it, and runner on that
 // node lets it in to the backend server. Nodes find each other by discovery and
-// know each other by membership; feed brings the configuration; announce follows
+// know each other by membership; configsync brings the configuration; announce follows
 // the backend server on the host, and departures keeps its leaving.
 //
 // # Usage
@@ -27,13 +27,13 @@
 	"github.com/pollencart/pollencart/internal/announce"
 	"github.com/pollencart/pollencart/internal/backend"
 	"github.com/pollencart/pollencart/internal/balancer"
+	"github.com/pollencart/pollencart/internal/configsync"
 	"github.com/pollencart/pollencart/internal/departures"
 	"github.com/pollencart/pollencart/internal/discovery"
 	"github.com/pollencart/pollencart/internal/dispatch"
 	"github.com/pollencart/pollencart/internal/drain"
 	"github.com/pollencart/pollencart/internal/epoch"
 	"github.com/pollencart/pollencart/internal/event"
-	"github.com/pollencart/pollencart/internal/feed"
 	"github.com/pollencart/pollencart/internal/forward"
 	"github.com/pollencart/pollencart/internal/ingress"
 	"github.com/pollencart/pollencart/internal/membership"
@@ -76,7 +76,7 @@
 	epoch      *epoch.Current // of the store
 	store      *platform.Store
 	holder     *route.Holder
-	feed       *feed.Feed
+	feed       *configsync.Feed
 	rendezvous *discovery.Rendezvous
 	departures *departures.Departures
 
@@ -130,7 +130,7 @@
 		ID: c.Node, Incarnation: uint64(time.Now().UnixMicro()), Region: c.Region, FailureDomain: c.FailureDomain,
 		PeerAddress: c.PeerAddress, CallerAddress: c.CallerAddress, ControlAddress: c.AnnounceAddress, Capacity: uint32(c.LinkMbps),
 	}, n.recorder)
-	n.feed = feed.New(feed.Options{
+	n.feed = configsync.New(configsync.Options{
 		Key: platform.ConfigurationKey, Decode: new(platform.Configurations).Decode, Store: n.store, Holder: n.holder,
 		Peers: n.client, Members: n.table, Recorder: n.recorder, FirstStart: c.FirstStart,
 		Epoch: n.epoch,
