--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/pollencart/pollencart/internal/event"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/peer"
-	"github.com/pollencart/pollencart/internal/spread"
+	"github.com/pollencart/pollencart/internal/propagation"
 	"github.com/pollencart/pollencart/internal/timeline"
 	"github.com/pollencart/pollencart/pkg/settings"
 )
@@ -212,10 +212,10 @@
 
 // delta returns a held version and what leads to the next one, which changes one
 // leaf.
-func delta(tb testing.TB, services int) (*settings.Snapshot, spread.Delta) {
+func delta(tb testing.TB, services int) (*settings.Snapshot, propagation.Delta) {
 	tb.Helper()
 
-	h := spread.NewHolder(timeline.New(timeline.Size(1)))
+	h := propagation.NewHolder(timeline.New(timeline.Size(1)))
 	tree := bench.Tree(services)
 
 	first, err := bench.Snapshot(tree, 1)
@@ -247,7 +247,7 @@
 			b.ReportAllocs()
 
 			for b.Loop() {
-				if _, err := spread.Apply(base, d); err != nil {
+				if _, err := propagation.Apply(base, d); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/cmd/bench/scale.go
+++ b/cmd/bench/scale.go
@@ -16,7 +16,7 @@
 	"github.com/pollencart/pollencart/internal/config"
 	"github.com/pollencart/pollencart/internal/harness"
 	"github.com/pollencart/pollencart/internal/operator"
-	"github.com/pollencart/pollencart/internal/spread"
+	"github.com/pollencart/pollencart/internal/propagation"
 	"github.com/pollencart/pollencart/internal/timeline"
 	"github.com/pollencart/pollencart/pkg/errs"
 	"github.com/pollencart/pollencart/pkg/settings"
@@ -313,7 +313,7 @@
 
 // deltaBytes is the size of the message that leads from one version to the next.
 func (s *scale) deltaBytes() (int, error) {
-	h := spread.NewHolder(timeline.New())
+	h := propagation.NewHolder(timeline.New())
 
 	for i := range 2 {
 		s.change(s.changes + i)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,8 +31,8 @@
 	"github.com/pollencart/pollencart/internal/peer"
 	"github.com/pollencart/pollencart/internal/platform/etcd"
 	"github.com/pollencart/pollencart/internal/poison"
+	"github.com/pollencart/pollencart/internal/propagation"
 	"github.com/pollencart/pollencart/internal/selection"
-	"github.com/pollencart/pollencart/internal/spread"
 	"github.com/pollencart/pollencart/internal/stall"
 	"github.com/pollencart/pollencart/internal/timeline"
 	"github.com/pollencart/pollencart/internal/upstream"
@@ -62,8 +62,8 @@
 
 	store    *etcd.Store
 	acceptor *acceptance.Acceptor
-	holder   *spread.Holder
-	spreader *spread.Spreader
+	holder   *propagation.Holder
+	spreader *propagation.Spreader
 	started  time.Time
 
 	table  *membership.Table
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -10,7 +10,7 @@
 	"github.com/pollencart/pollencart/internal/idle"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/platform/etcd"
-	"github.com/pollencart/pollencart/internal/spread"
+	"github.com/pollencart/pollencart/internal/propagation"
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
@@ -18,22 +18,22 @@
 func (n *Node) settings() {
 	n.store = etcd.New(etcd.Endpoints(n.config.Platform...))
 	n.acceptor = acceptance.New(n.store)
-	n.holder = spread.NewHolder(n.recorder)
+	n.holder = propagation.NewHolder(n.recorder)
 	n.started = time.Now()
 
-	opts := []spread.Option{
-		spread.Self(n.config.ID, n.config.PeerAddress, n.config.FailureDomain),
-		spread.Members(n.domain), spread.Others(n.others), spread.Watching(n.watching),
+	opts := []propagation.Option{
+		propagation.Self(n.config.ID, n.config.PeerAddress, n.config.FailureDomain),
+		propagation.Members(n.domain), propagation.Others(n.others), propagation.Watching(n.watching),
 	}
 
-	n.spreader = spread.New(n.holder, n.acceptor, n.store, n.client, n.recorder, append(opts, modes[n.config.Mode]...)...)
+	n.spreader = propagation.New(n.holder, n.acceptor, n.store, n.client, n.recorder, append(opts, modes[n.config.Mode]...)...)
 	n.spreader.Register(n.server)
 }
 
-var modes = map[config.Mode][]spread.Option{
-	config.ModeFrugal:   {spread.Frugal()},
-	config.ModePoll:     {spread.With(spread.StrategyPoll)},
-	config.ModeFullPush: {spread.With(spread.StrategyFullPush)},
+var modes = map[config.Mode][]propagation.Option{
+	config.ModeFrugal:   {propagation.Frugal()},
+	config.ModePoll:     {propagation.With(propagation.StrategyPoll)},
+	config.ModeFullPush: {propagation.With(propagation.StrategyFullPush)},
 }
 
 // watchersPerDomain is how many nodes of a failure domain watch the platform:
@@ -52,17 +52,17 @@
 		return false
 	}
 
-	return spread.Watches(n.config.FailureDomain, n.config.ID, n.inDomain(live), watchersPerDomain)
+	return propagation.Watches(n.config.FailureDomain, n.config.ID, n.inDomain(live), watchersPerDomain)
 }
 
-func (n *Node) domain() []spread.Member { return n.inDomain(n.table.Live()) }
+func (n *Node) domain() []propagation.Member { return n.inDomain(n.table.Live()) }
 
-func (n *Node) inDomain(live []membership.Record) []spread.Member {
-	var out []spread.Member
+func (n *Node) inDomain(live []membership.Record) []propagation.Member {
+	var out []propagation.Member
 
 	for _, r := range live {
 		if r.FailureDomain == n.config.FailureDomain {
-			out = append(out, spread.Member{ID: r.ID, Address: r.PeerAddress})
+			out = append(out, propagation.Member{ID: r.ID, Address: r.PeerAddress})
 		}
 	}
 
--- a/internal/spread/cluster_test.go
+++ b/internal/propagation/cluster_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package propagation_test
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"github.com/pollencart/pollencart/internal/event"
 	"github.com/pollencart/pollencart/internal/peer"
 	keyvalue "github.com/pollencart/pollencart/internal/platform"
-	"github.com/pollencart/pollencart/internal/spread"
+	"github.com/pollencart/pollencart/internal/propagation"
 	"github.com/pollencart/pollencart/internal/standin/platform"
 	"github.com/pollencart/pollencart/internal/timeline"
 	"github.com/pollencart/pollencart/pkg/errs"
@@ -34,13 +34,13 @@
 
 	platform *platform.Platform
 	acceptor *acceptance.Acceptor
-	options  []spread.Option
+	options  []propagation.Option
 	quiet    bool // no gossip
 
 	mu       sync.Mutex
 	nodes    map[string]*node
 	sorted   []string
-	domains  map[string][]spread.Member
+	domains  map[string][]propagation.Member
 	random   *rand.Rand
 	messages int
 	bytes    int
@@ -51,15 +51,15 @@
 
 type node struct {
 	id, domain string
-	holder     *spread.Holder
-	spreader   *spread.Spreader
+	holder     *propagation.Holder
+	spreader   *propagation.Spreader
 	recorder   *timeline.Recorder
 	stop       context.CancelFunc
 	// frozen does not answer and does not run; others still believe in it.
 	frozen atomic.Bool
 }
 
-func startCluster(t *testing.T, size, branches int, opts ...spread.Option) *cluster {
+func startCluster(t *testing.T, size, branches int, opts ...propagation.Option) *cluster {
 	t.Helper()
 
 	c := &cluster{
@@ -96,16 +96,16 @@
 // start starts a fresh process of a node.
 func (c *cluster) start(id, domain string) *node {
 	n := &node{id: id, domain: domain, recorder: timeline.New(timeline.Node(id))}
-	n.holder = spread.NewHolder(n.recorder)
+	n.holder = propagation.NewHolder(n.recorder)
 	store := stream{c.platform.Direct(domain)}
 
-	opts := append([]spread.Option{
-		spread.Self(id, id, domain),
-		spread.Members(func() []spread.Member { return c.members(domain) }),
-		spread.Others(func() []string { return c.others(id) }),
-		spread.Watching(func() bool { return spread.Watches(domain, id, c.members(domain), 2) }),
+	opts := append([]propagation.Option{
+		propagation.Self(id, id, domain),
+		propagation.Members(func() []propagation.Member { return c.members(domain) }),
+		propagation.Others(func() []string { return c.others(id) }),
+		propagation.Watching(func() bool { return propagation.Watches(domain, id, c.members(domain), 2) }),
 	}, c.options...)
-	n.spreader = spread.New(n.holder, acceptance.New(store), store, &wire{c, id}, n.recorder, opts...)
+	n.spreader = propagation.New(n.holder, acceptance.New(store), store, &wire{c, id}, n.recorder, opts...)
 
 	ctx, stop := context.WithCancel(c.Context())
 	n.stop = stop
@@ -149,15 +149,15 @@
 // listed keeps the lists of nodes, which are read far more often than changed.
 func (c *cluster) listed() {
 	c.sorted = slices.Sorted(maps.Keys(c.nodes))
-	c.domains = map[string][]spread.Member{}
+	c.domains = map[string][]propagation.Member{}
 
 	for _, id := range c.sorted {
 		domain := c.nodes[id].domain
-		c.domains[domain] = append(c.domains[domain], spread.Member{ID: id, Address: id})
+		c.domains[domain] = append(c.domains[domain], propagation.Member{ID: id, Address: id})
 	}
 }
 
-func (c *cluster) members(domain string) []spread.Member {
+func (c *cluster) members(domain string) []propagation.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -235,7 +235,7 @@
 	w.c.messages++
 	w.c.bytes += len(data) + len(reply)
 
-	if method == spread.MethodPull && err == nil {
+	if method == propagation.MethodPull && err == nil {
 		w.c.wholes++
 	}
 	w.c.mu.Unlock()
@@ -251,9 +251,9 @@
 
 func (n *node) answer(ctx context.Context, method string, data []byte) ([]byte, error) {
 	handlers := map[string]peer.Handler{
-		spread.MethodPull:   peer.Typed(n.spreader.Serve),
-		spread.MethodPush:   peer.Typed(n.spreader.Receive),
-		spread.MethodNumber: peer.Typed(n.spreader.Tell),
+		propagation.MethodPull:   peer.Typed(n.spreader.Serve),
+		propagation.MethodPush:   peer.Typed(n.spreader.Receive),
+		propagation.MethodNumber: peer.Typed(n.spreader.Tell),
 	}
 
 	v, err := handlers[method](ctx, data)
--- a/internal/spread/delta_test.go
+++ b/internal/propagation/delta_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package propagation_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"github.com/pollencart/pollencart/internal/spread"
+	"github.com/pollencart/pollencart/internal/propagation"
 	"github.com/pollencart/pollencart/internal/timeline"
 	"github.com/pollencart/pollencart/pkg/settings"
 )
@@ -46,8 +46,8 @@
 
 	rapid.Check(t, func(rt *rapid.T) {
 		// The one who serves has held some of the versions, in order.
-		served := spread.NewHolder(timeline.New())
-		held := spread.NewHolder(timeline.New())
+		served := propagation.NewHolder(timeline.New())
+		held := propagation.NewHolder(timeline.New())
 
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
 			before := held.Number()
@@ -58,7 +58,7 @@
 
 			d, err := served.Delta(uint64(rapid.IntRange(0, versions).Draw(rt, "have")), "")
 			if err == nil {
-				if s, err := spread.Apply(held.Load(), d); err == nil {
+				if s, err := propagation.Apply(held.Load(), d); err == nil {
 					held.Offer(s)
 				}
 			}
@@ -105,24 +105,24 @@
 // A herd asks one node for the whole tree. It serves a few and tells the rest
 // when to come back; if it took all, all would be slow together.
 func TestWholeTreesAreServedAFewAtATime(t *testing.T) {
-	h := spread.NewHolder(timeline.New())
+	h := propagation.NewHolder(timeline.New())
 	h.Offer(snapshots(t, 1)[0])
 
-	s := spread.New(h, nil, nil, nil, timeline.New(), func(o *spread.Options) { o.Serves = 0 })
+	s := propagation.New(h, nil, nil, nil, timeline.New(), func(o *propagation.Options) { o.Serves = 0 })
 
-	d, err := s.Serve(context.Background(), spread.PullRequest{})
+	d, err := s.Serve(context.Background(), propagation.PullRequest{})
 	assert.NilError(t, err)
 	assert.Assert(t, d.RetryMs > 0)
 	assert.Equal(t, len(d.Changed), 0)
 }
 
 func TestDeltaThatDoesNotLeadUpIsRefused(t *testing.T) {
-	d := spread.Delta{From: 3, Version: settings.Version{Number: 3}}
-	assert.ErrorIs(t, d.Check(), spread.ErrDelta)
+	d := propagation.Delta{From: 3, Version: settings.Version{Number: 3}}
+	assert.ErrorIs(t, d.Check(), propagation.ErrDelta)
 
-	d = spread.Delta{Version: settings.Version{Number: 3}, Packed: []byte("no frame")}
-	assert.ErrorIs(t, d.Check(), spread.ErrDelta)
+	d = propagation.Delta{Version: settings.Version{Number: 3}, Packed: []byte("no frame")}
+	assert.ErrorIs(t, d.Check(), propagation.ErrDelta)
 
-	p := spread.Push{Number: 4, Delta: &spread.Delta{Version: settings.Version{Number: 3}}}
-	assert.ErrorIs(t, p.Check(), spread.ErrDelta)
+	p := propagation.Push{Number: 4, Delta: &propagation.Delta{Version: settings.Version{Number: 3}}}
+	assert.ErrorIs(t, p.Check(), propagation.ErrDelta)
 }
--- a/internal/spread/norace_test.go
+++ b/internal/propagation/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package spread
+package propagation
 
 func underRaceDetector() {}
--- a/internal/spread/spread.go
+++ b/internal/propagation/propagation.go
@@ -1,16 +1,16 @@
-// Package spread brings accepted versions to every node and keeps the one that
+// Package propagation brings accepted versions to every node and keeps the one that
 // this node answers with.
 //
 // A few watchers in each failure domain follow the head on the platform and push
 // what changed down a tree of the domain's live members. Version numbers that
 // travel with gossip show a node that it is behind; it then pulls from a peer.
 //
-//	h := spread.NewHolder(recorder)
-//	s := spread.New(h, acceptor, store, client, recorder, spread.Self(id, address, domain))
+//	h := propagation.NewHolder(recorder)
+//	s := propagation.New(h, acceptor, store, client, recorder, propagation.Self(id, address, domain))
 //	s.Register(server)
 //	go s.Run(ctx)
 //	route, ok := h.Load().Match("GET", "/folders/1")
-package spread
+package propagation
 
 import (
 	"context"
--- a/internal/spread/spread_test.go
+++ b/internal/propagation/propagation_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package propagation_test
 
 import (
 	"testing"
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/pollencart/pollencart/internal/event"
-	"github.com/pollencart/pollencart/internal/spread"
+	"github.com/pollencart/pollencart/internal/propagation"
 	"github.com/pollencart/pollencart/internal/standin/platform"
 )
 
@@ -23,7 +23,7 @@
 	slowest                       time.Duration
 }
 
-func measure(t *testing.T, size int, opts ...spread.Option) (out cost, delta int) {
+func measure(t *testing.T, size int, opts ...propagation.Option) (out cost, delta int) {
 	t.Helper()
 
 	synctest.Test(t, func(t *testing.T) {
@@ -77,8 +77,8 @@
 // The same work in the two ways that were ruled out.
 func TestBaselinesCostMore(t *testing.T) {
 	deltas, _ := measure(t, 50)
-	poll, _ := measure(t, 50, spread.With(spread.StrategyPoll))
-	full, _ := measure(t, 50, spread.With(spread.StrategyFullPush))
+	poll, _ := measure(t, 50, propagation.With(propagation.StrategyPoll))
+	full, _ := measure(t, 50, propagation.With(propagation.StrategyFullPush))
 
 	t.Logf("deltas %+v; poll %+v; full push %+v", deltas, poll, full)
 	assert.Assert(t, poll.idleCalls > 10*deltas.idleCalls)
@@ -93,7 +93,7 @@
 		c.settle(c.accept())
 		c.quiet = true
 
-		order := spread.Order("d0", c.members("d0"))
+		order := propagation.Order("d0", c.members("d0"))
 		frozen := []string{order[0].ID, order[2].ID}
 
 		for _, id := range frozen {
@@ -276,7 +276,7 @@
 
 // Changes in quick succession: Frugal sends them as fewer deltas, Fast sooner.
 func TestFrugalSavesBytesOnABurst(t *testing.T) {
-	burst := func(opts ...spread.Option) (bytes int, slowest time.Duration) {
+	burst := func(opts ...propagation.Option) (bytes int, slowest time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
 			c := startCluster(t, 100, 40, opts...)
 			c.settle(c.accept())
@@ -299,7 +299,7 @@
 	}
 
 	fast, fastTime := burst()
-	frugal, frugalTime := burst(spread.Frugal())
+	frugal, frugalTime := burst(propagation.Frugal())
 
 	t.Logf("fast %d bytes, last change after %v; frugal %d bytes, %v", fast, fastTime, frugal, frugalTime)
 	// The changes last for a second and a pause for two: a watcher takes the first
--- a/internal/spread/pull.go
+++ b/internal/propagation/pull.go
@@ -1,4 +1,4 @@
-package spread
+package propagation
 
 import (
 	"context"
--- a/internal/spread/pull_test.go
+++ b/internal/propagation/pull_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package propagation_test
 
 import (
 	"context"
@@ -10,35 +10,35 @@
 
 	"github.com/pollencart/pollencart/internal/event"
 	"github.com/pollencart/pollencart/internal/peer"
-	"github.com/pollencart/pollencart/internal/spread"
+	"github.com/pollencart/pollencart/internal/propagation"
 	"github.com/pollencart/pollencart/internal/timeline"
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
 // slowPeer answers each pull with one delta, after a while.
 type slowPeer struct {
-	delta spread.Delta
+	delta propagation.Delta
 	pulls int
 }
 
 func (p *slowPeer) Do(_ context.Context, _ string, _ peer.Lane, method string, _, out any) error {
 	time.Sleep(300 * time.Millisecond)
 
-	if method != spread.MethodPull {
+	if method != propagation.MethodPull {
 		return peer.ErrNoMethod
 	}
 
 	p.pulls++
-	*out.(*spread.Delta) = p.delta
+	*out.(*propagation.Delta) = p.delta
 
 	return nil
 }
 
-func whole(s *settings.Snapshot) spread.Delta {
+func whole(s *settings.Snapshot) propagation.Delta {
 	v := s.Version()
 	v.Branches = nil
 
-	return spread.Delta{Version: v, Changed: s.Records()}
+	return propagation.Delta{Version: v, Changed: s.Records()}
 }
 
 // Within one round of gossip fifty peers say that they hold a newer version. A
@@ -46,8 +46,8 @@
 func TestOneFillAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &slowPeer{delta: whole(snapshots(t, 2)[1])}
-		h := spread.NewHolder(timeline.New())
-		s := spread.New(h, nil, nil, p, timeline.New())
+		h := propagation.NewHolder(timeline.New())
+		s := propagation.New(h, nil, nil, p, timeline.New())
 
 		for range 50 {
 			s.Hear(t.Context(), "peer", 2)
@@ -75,12 +75,12 @@
 		records, err := bad.Records()
 		assert.NilError(t, err)
 
-		p := &slowPeer{delta: spread.Delta{Changed: records, Version: settings.Version{
+		p := &slowPeer{delta: propagation.Delta{Changed: records, Version: settings.Version{
 			Number: 2, Digest: settings.TreeDigest(records.Digests()),
 		}}}
 		recorder := timeline.New()
-		h := spread.NewHolder(recorder)
-		s := spread.New(h, nil, nil, p, recorder)
+		h := propagation.NewHolder(recorder)
+		s := propagation.New(h, nil, nil, p, recorder)
 
 		for range 100 {
 			s.Hear(t.Context(), "peer", 2)
--- a/internal/spread/race_test.go
+++ b/internal/propagation/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package spread
+package propagation
 
 import "runtime"
 
