--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -5,7 +5,7 @@
 // A call comes in at ingress, dispatch chooses a node for it, and runner on that
 // node lets it in to the backend server. Nodes find each other by discovery and
 // know each other by membership; configsync brings the configuration; announce follows
-// the backend server on the host, and departures keeps its leaving.
+// the backend server on the host, and tombstone keeps its leaving.
 //
 // # Usage
 //
@@ -28,7 +28,6 @@
 	"github.com/pollencart/pollencart/internal/backend"
 	"github.com/pollencart/pollencart/internal/balancer"
 	"github.com/pollencart/pollencart/internal/configsync"
-	"github.com/pollencart/pollencart/internal/departures"
 	"github.com/pollencart/pollencart/internal/discovery"
 	"github.com/pollencart/pollencart/internal/dispatch"
 	"github.com/pollencart/pollencart/internal/drain"
@@ -47,6 +46,7 @@
 	"github.com/pollencart/pollencart/internal/slots"
 	"github.com/pollencart/pollencart/internal/stall"
 	"github.com/pollencart/pollencart/internal/timeline"
+	"github.com/pollencart/pollencart/internal/tombstone"
 	"github.com/pollencart/pollencart/platform"
 )
 
@@ -78,7 +78,7 @@
 	holder     *route.Holder
 	feed       *configsync.Feed
 	rendezvous *discovery.Rendezvous
-	departures *departures.Departures
+	departures *tombstone.Departures
 
 	host  *announce.Host
 	queue *slots.Queue
@@ -91,7 +91,7 @@
 	ingress    *ingress.Server
 
 	mu        sync.Mutex
-	instance  departures.Instance // that the connections of the pool lead to
+	instance  tombstone.Instance // that the connections of the pool lead to
 	listeners []net.Listener
 	callers   net.Listener // that of the callers, one of these
 	servers   []*http.Server
@@ -139,7 +139,7 @@
 		n.table, n.client, membership.Version(n.holder.Number), membership.Hear(n.feed.Hear), membership.WithEpochs(n.epoch),
 	)
 	n.rendezvous = discovery.New(n.store, n.table, n.gossip.Meet, n.recorder, c.FirstStart).WithEpoch(n.epoch)
-	n.departures = departures.New(n.store, n.client, n.table).WithEpoch(n.epoch, n.recorder)
+	n.departures = tombstone.New(n.store, n.client, n.table).WithEpoch(n.epoch, n.recorder)
 }
 
 // backend makes what leads to the backend server on this host.
@@ -177,8 +177,8 @@
 	n.server.Handle(membership.MethodRecords, peer.Typed(n.gossip.ServeRecords))
 	n.server.Handle(forward.MethodRun, peer.Typed(n.runner.Serve))
 	n.feed.Register(n.server)
-	n.server.Handle(departures.MethodKeep, peer.Typed(n.departures.ServeKeep))
-	n.server.Handle(departures.MethodAsk, peer.Typed(n.departures.ServeAsk))
+	n.server.Handle(tombstone.MethodKeep, peer.Typed(n.departures.ServeKeep))
+	n.server.Handle(tombstone.MethodAsk, peer.Typed(n.departures.ServeAsk))
 
 	for method, h := range n.watch.Handlers() {
 		n.server.Handle(method, h)
@@ -239,7 +239,7 @@
 
 	// Connections to an earlier start are dead. Some were not closed, and a call sent on
 	// one can't be told from a call that ran.
-	if start := (departures.Instance{ID: s.Instance, Started: s.Started}); start != n.instance {
+	if start := (tombstone.Instance{ID: s.Instance, Started: s.Started}); start != n.instance {
 		n.instance = start
 		n.pool.Forget()
 
--- a/internal/departures/cost_test.go
+++ b/internal/tombstone/cost_test.go
@@ -1,4 +1,4 @@
-package departures_test
+package tombstone_test
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/departures"
 	"github.com/pollencart/pollencart/internal/peer"
+	"github.com/pollencart/pollencart/internal/tombstone"
 )
 
 // counted counts the messages of a node.
@@ -33,7 +33,7 @@
 		for _, count := range []int{1, 2, 8, 85, 295} {
 			s := &store{keys: map[string][]byte{}}
 			c := &counted{fleet: fleet{newFleet(s, count), "a"}}
-			d := departures.New(s, c, c)
+			d := tombstone.New(s, c, c)
 			began := time.Now()
 
 			assert.NilError(t, d.Keep(t.Context(), "i-1", 100))
@@ -62,7 +62,7 @@
 		cut := silent{fleet{newFleet(s, 8), "a"}}
 		began := time.Now()
 
-		assert.NilError(t, departures.New(s, cut, cut).Keep(t.Context(), "i-1", 100))
+		assert.NilError(t, tombstone.New(s, cut, cut).Keep(t.Context(), "i-1", 100))
 		assert.Assert(t, time.Since(began) <= soon, time.Since(began))
 	})
 }
--- a/internal/departures/drill_test.go
+++ b/internal/tombstone/drill_test.go
@@ -1,4 +1,4 @@
-package departures_test
+package tombstone_test
 
 import (
 	"context"
@@ -9,12 +9,12 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/departures"
 	"github.com/pollencart/pollencart/internal/epoch"
 	"github.com/pollencart/pollencart/internal/event"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/platform"
 	"github.com/pollencart/pollencart/internal/timeline"
+	"github.com/pollencart/pollencart/internal/tombstone"
 )
 
 // copied returns what the store holds now.
@@ -42,7 +42,7 @@
 
 // process is a life of a node that runs until it is stopped.
 type process struct {
-	*departures.Departures
+	*tombstone.Departures
 
 	epoch *epoch.Current
 	told  *timeline.Recorder
@@ -50,12 +50,12 @@
 }
 
 // run runs another life of the node a, with the others that there are.
-func run(t *testing.T, s *store, nodes map[string]*departures.Departures) process {
+func run(t *testing.T, s *store, nodes map[string]*tombstone.Departures) process {
 	t.Helper()
 
 	f := fleet{nodes, "a"}
 	p := process{epoch: epoch.New(), told: timeline.New()}
-	p.Departures = departures.New(s, f, f).WithEpoch(p.epoch, p.told)
+	p.Departures = tombstone.New(s, f, f).WithEpoch(p.epoch, p.told)
 	p.epoch.Observe(1)
 
 	ctx, cancel := context.WithCancel(context.Background())
@@ -77,9 +77,9 @@
 }
 
 // alone is a node that no other one can be asked beside.
-func alone() map[string]*departures.Departures { return map[string]*departures.Departures{} }
+func alone() map[string]*tombstone.Departures { return map[string]*tombstone.Departures{} }
 
-func departed(t *testing.T, d *departures.Departures) bool {
+func departed(t *testing.T, d *tombstone.Departures) bool {
 	t.Helper()
 
 	gone, err := d.Departed(t.Context(), "i-1", 100)
@@ -134,7 +134,7 @@
 		e.Observe(1)
 
 		f := fleet{alone(), "a"}
-		d := departures.New(lossy{s, e}, f, f).WithEpoch(e, timeline.New())
+		d := tombstone.New(lossy{s, e}, f, f).WithEpoch(e, timeline.New())
 		ctx, cancel := context.WithCancel(t.Context())
 
 		go d.Run(ctx)
@@ -254,11 +254,11 @@
 		s.back(older)
 
 		next := late{fleet{nodes, "a"}, time.Now().Add(meets)}
-		assert.Assert(t, departed(t, departures.New(s, next, next)))
+		assert.Assert(t, departed(t, tombstone.New(s, next, next)))
 
 		began := time.Now()
 		never := late{fleet{nodes, "a"}, time.Now().Add(time.Hour)}
-		assert.Assert(t, !departed(t, departures.New(s, never, never)))
+		assert.Assert(t, !departed(t, tombstone.New(s, never, never)))
 		assert.Assert(t, time.Since(began) <= 400*time.Millisecond, time.Since(began))
 	})
 }
--- a/internal/departures/held.go
+++ b/internal/tombstone/held.go
@@ -1,4 +1,4 @@
-package departures
+package tombstone
 
 import (
 	"context"
--- a/internal/departures/random_test.go
+++ b/internal/tombstone/random_test.go
@@ -1,4 +1,4 @@
-package departures_test
+package tombstone_test
 
 import (
 	"flag"
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/departures"
+	"github.com/pollencart/pollencart/internal/tombstone"
 )
 
 var (
@@ -39,7 +39,7 @@
 	away   bool
 	broken time.Time // when the store was away last, or came back older
 
-	others    map[string]*departures.Departures
+	others    map[string]*tombstone.Departures
 	restarted time.Time // all others, the last time
 	process   process
 	confirmed map[string]confirmation
@@ -105,7 +105,7 @@
 
 	for id := range d.others {
 		f := fleet{d.others, id}
-		d.others[id] = departures.New(d.store, f, f)
+		d.others[id] = tombstone.New(d.store, f, f)
 	}
 
 	d.restarted = time.Now()
@@ -125,14 +125,14 @@
 
 		// It lies with this process alone for a moment.
 		if c.at.After(d.restarted) || (!d.away && time.Since(d.broken) >= rewritten) {
-			d.knows(t, departures.New(d.store, fleet{d.others, "a"}, fleet{d.others, "a"}), id, step)
+			d.knows(t, tombstone.New(d.store, fleet{d.others, "a"}, fleet{d.others, "a"}), id, step)
 		}
 
 		d.knows(t, d.process.Departures, id, step)
 	}
 }
 
-func (d *drill) knows(t *testing.T, process *departures.Departures, id string, step int) {
+func (d *drill) knows(t *testing.T, process *tombstone.Departures, id string, step int) {
 	t.Helper()
 
 	gone, err := process.Departed(t.Context(), id, 100)
--- a/internal/departures/departures.go
+++ b/internal/tombstone/tombstone.go
@@ -1,4 +1,4 @@
-// Package departures keeps which backend servers were confirmed to leave, beyond
+// Package tombstone keeps which backend servers were confirmed to leave, beyond
 // the life of the process that confirmed it.
 //
 // # What goes wrong without it
@@ -18,12 +18,12 @@
 //
 // # Usage
 //
-//	d := departures.New(store, peers, members)
-//	server.Handle(departures.MethodKeep, peer.Typed(d.ServeKeep))
+//	d := tombstone.New(store, peers, members)
+//	server.Handle(tombstone.MethodKeep, peer.Typed(d.ServeKeep))
 //	go d.Run(ctx)
 //	err := d.Keep(ctx, instance)
 //	gone, err := d.Departed(ctx, instance)
-package departures
+package tombstone
 
 import (
 	"context"
--- a/internal/departures/departures_test.go
+++ b/internal/tombstone/tombstone_test.go
@@ -1,4 +1,4 @@
-package departures_test
+package tombstone_test
 
 import (
 	"cmp"
@@ -12,10 +12,10 @@
 	"github.com/cespare/xxhash/v2"
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/departures"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/peer"
 	"github.com/pollencart/pollencart/internal/platform"
+	"github.com/pollencart/pollencart/internal/tombstone"
 )
 
 // store is the platform's store.
@@ -66,7 +66,7 @@
 
 // fleet carries messages between nodes, and gives the others in an order.
 type fleet struct {
-	nodes map[string]*departures.Departures
+	nodes map[string]*tombstone.Departures
 	self  string
 }
 
@@ -78,10 +78,10 @@
 
 	var err error
 
-	if method == departures.MethodKeep {
-		*out.(*departures.Known), err = n.ServeKeep(ctx, in.(departures.Instance))
+	if method == tombstone.MethodKeep {
+		*out.(*tombstone.Known), err = n.ServeKeep(ctx, in.(tombstone.Instance))
 	} else {
-		*out.(*departures.Known), err = n.ServeAsk(ctx, in.(departures.Instance))
+		*out.(*tombstone.Known), err = n.ServeAsk(ctx, in.(tombstone.Instance))
 	}
 
 	return err
@@ -105,12 +105,12 @@
 
 func (f fleet) RankedIn(string, int) []membership.Record { return nil }
 
-func newFleet(s *store, count int) map[string]*departures.Departures {
-	nodes := map[string]*departures.Departures{}
+func newFleet(s *store, count int) map[string]*tombstone.Departures {
+	nodes := map[string]*tombstone.Departures{}
 	for i := range count {
 		address := string(rune('a' + i))
 		f := fleet{nodes, address}
-		nodes[address] = departures.New(s, f, f)
+		nodes[address] = tombstone.New(s, f, f)
 	}
 
 	return nodes
@@ -124,7 +124,7 @@
 	assert.NilError(t, nodes["a"].Keep(context.Background(), "i-1", 0))
 
 	f := fleet{nodes, "a"}
-	next := departures.New(s, f, f)
+	next := tombstone.New(s, f, f)
 	departed, err := next.Departed(context.Background(), "i-1", 0)
 	assert.NilError(t, err)
 	assert.Assert(t, departed)
@@ -142,7 +142,7 @@
 	assert.NilError(t, nodes["a"].Keep(context.Background(), "i-1", 0))
 
 	f := fleet{nodes, "a"}
-	departed, err := departures.New(s, f, f).Departed(context.Background(), "i-1", 0)
+	departed, err := tombstone.New(s, f, f).Departed(context.Background(), "i-1", 0)
 	assert.NilError(t, err)
 	assert.Assert(t, departed)
 }
@@ -161,7 +161,7 @@
 
 		s.away = false
 		f := fleet{nodes, "a"}
-		departed, err := departures.New(s, f, f).Departed(context.Background(), instance, 0)
+		departed, err := tombstone.New(s, f, f).Departed(context.Background(), instance, 0)
 		assert.NilError(t, err)
 		assert.Assert(t, departed, instance)
 	}
@@ -170,14 +170,14 @@
 // The store is away and too few other nodes can be reached: it is not kept.
 func TestOneCopyIsNotEnough(t *testing.T) {
 	nodes := newFleet(&store{away: true}, 2)
-	assert.ErrorIs(t, nodes["a"].Keep(context.Background(), "i-1", 0), departures.ErrNotKept)
+	assert.ErrorIs(t, nodes["a"].Keep(context.Background(), "i-1", 0), tombstone.ErrNotKept)
 }
 
 // Nobody can be asked. That is not the same as nobody knowing of it.
 func TestNobodyCanBeAsked(t *testing.T) {
 	nodes := newFleet(&store{away: true}, 1)
 	_, err := nodes["a"].Departed(context.Background(), "i-1", 0)
-	assert.ErrorIs(t, err, departures.ErrNotKept)
+	assert.ErrorIs(t, err, tombstone.ErrNotKept)
 }
 
 // A backend server was confirmed to leave and starts again under its name. The record
@@ -191,7 +191,7 @@
 			assert.NilError(t, nodes["a"].Keep(context.Background(), "i-1", 100))
 
 			s.away = false
-			next := departures.New(s, fleet{nodes, "a"}, fleet{nodes, "a"})
+			next := tombstone.New(s, fleet{nodes, "a"}, fleet{nodes, "a"})
 
 			for started, want := range map[int64]bool{0: true, 99: true, 100: true, 101: false} {
 				departed, err := next.Departed(context.Background(), "i-1", started)
@@ -205,7 +205,7 @@
 // Somebody wrote bytes that can't be read over the record. The promise was given, so it
 // holds for every start.
 func TestARecordThatCantBeRead(t *testing.T) {
-	s := &store{keys: map[string][]byte{departures.Prefix + "i-1": []byte("\xff{")}}
+	s := &store{keys: map[string][]byte{tombstone.Prefix + "i-1": []byte("\xff{")}}
 	nodes := newFleet(s, 1)
 
 	departed, err := nodes["a"].Departed(context.Background(), "i-1", 100)
