--- a/internal/once/filter/filter.go
+++ b/internal/once/bloom/bloom.go
@@ -1,4 +1,4 @@
-// Package filter remembers keys that were dropped, in fixed memory and without
+// Package bloom remembers keys that were dropped, in fixed memory and without
 // ever forgetting one: a Bloom filter that is wrong in one direction only.
 //
 // A key that names no home tells nothing of its age. A request that waited in a
@@ -6,10 +6,10 @@
 // record was dropped. With the filter it ends in unknown; so does, wrongly, one
 // new key in some four hundred of a full filter, which its caller can live with.
 //
-//	f := filter.New()
+//	f := bloom.New()
 //	f.Add("upload-17")
 //	f.Has("upload-17") // true for ever
-package filter
+package bloom
 
 import (
 	mathbits "math/bits"
--- a/internal/once/filter/filter_test.go
+++ b/internal/once/bloom/bloom_test.go
@@ -1,4 +1,4 @@
-package filter_test
+package bloom_test
 
 import (
 	"fmt"
@@ -6,15 +6,15 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/once/filter"
+	"github.com/pollencart/pollencart/internal/once/bloom"
 )
 
 // A key that was put in is always found, also in a copy and in a union; others
 // are taken for one in fewer than one in 200 cases when the filter is full.
 func TestAFilterNeverForgets(t *testing.T) {
-	var a, b, none filter.Filter
+	var a, b, none bloom.Filter
 
-	for i := range filter.Capacity / 2 {
+	for i := range bloom.Capacity / 2 {
 		a.Add(fmt.Sprintf("a%d", i))
 		b.Add(fmt.Sprintf("b%d", i))
 	}
@@ -24,7 +24,7 @@
 	none.Union(b.Clone())
 	none.Union(b)
 
-	for i := range filter.Capacity / 2 {
+	for i := range bloom.Capacity / 2 {
 		assert.Assert(t, none.Has(fmt.Sprintf("a%d", i)) && none.Has(fmt.Sprintf("b%d", i)))
 	}
 
@@ -39,5 +39,5 @@
 
 	t.Logf("%d of %d other keys taken for dropped ones", wrong, others)
 	assert.Assert(t, wrong < others/200)
-	assert.Assert(t, none.Size > filter.Capacity*8/10 && none.Size <= filter.Capacity, "%d", none.Size)
+	assert.Assert(t, none.Size > bloom.Capacity*8/10 && none.Size <= bloom.Capacity, "%d", none.Size)
 }
--- a/internal/once/handover.go
+++ b/internal/once/handover.go
@@ -6,7 +6,7 @@
 
 	"github.com/pollencart/pollencart/internal/call"
 	"github.com/pollencart/pollencart/internal/membership"
-	"github.com/pollencart/pollencart/internal/once/filter"
+	"github.com/pollencart/pollencart/internal/once/bloom"
 	"github.com/pollencart/pollencart/internal/once/record"
 	"github.com/pollencart/pollencart/internal/once/shard"
 	"github.com/pollencart/pollencart/internal/peer"
@@ -18,10 +18,10 @@
 
 // Adopt is a part of the records of a shard.
 type Adopt struct {
-	Shard  int           `msgpack:"Shard"`
-	From   string        `msgpack:"From"`
-	Rows   []record.Row  `msgpack:"Rows"`
-	Filter filter.Filter `msgpack:"Filter"`
+	Shard  int          `msgpack:"Shard"`
+	From   string       `msgpack:"From"`
+	Rows   []record.Row `msgpack:"Rows"`
+	Filter bloom.Filter `msgpack:"Filter"`
 	// Last says that all parts were sent, and Wait how long unseen keys are still
 	// unknown.
 	Last bool          `msgpack:"Last"`
@@ -115,7 +115,7 @@
 			return shard.Self{Node: out.Node, Life: out.Life, FailureDomain: successor.FailureDomain}, true
 		}
 
-		part.Filter = filter.Filter{}
+		part.Filter = bloom.Filter{}
 	}
 }
 
--- a/internal/once/record/handover.go
+++ b/internal/once/record/handover.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/once/filter"
+	"github.com/pollencart/pollencart/internal/once/bloom"
 )
 
 // Row is one record as it is handed to the next home of an opaque key.
@@ -79,7 +79,7 @@
 }
 
 // Filter returns a copy of the dropped opaque keys.
-func (t *Table) Filter() filter.Filter {
+func (t *Table) Filter() bloom.Filter {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -87,7 +87,7 @@
 }
 
 // AdoptFilter adds the dropped opaque keys of another home.
-func (t *Table) AdoptFilter(f filter.Filter) {
+func (t *Table) AdoptFilter(f bloom.Filter) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
--- a/internal/once/record/table.go
+++ b/internal/once/record/table.go
@@ -22,7 +22,7 @@
 	"time"
 
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/once/filter"
+	"github.com/pollencart/pollencart/internal/once/bloom"
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
@@ -82,7 +82,7 @@
 	generation uint64
 	lowest     uint64
 	answers    int // bytes
-	dropped    filter.Filter
+	dropped    bloom.Filter
 }
 
 // New returns an empty table in its first generation.
@@ -177,7 +177,7 @@
 	}
 
 	if t.dropped.Full() {
-		return ErrFull.With("%d opaque keys dropped", filter.Capacity)
+		return ErrFull.With("%d opaque keys dropped", bloom.Capacity)
 	}
 
 	return nil
