--- a/internal/caller/answer_test.go
+++ b/internal/frontend/answer_test.go
@@ -1,4 +1,4 @@
-package caller_test
+package frontend_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"github.com/pollencart/pollencart/internal/admission"
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/gate"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/peer"
@@ -53,11 +53,11 @@
 func send(t *testing.T, s *scripted, header map[string]string) *httptest.ResponseRecorder {
 	t.Helper()
 
-	h := caller.New(
-		caller.Node("derby-browse-1"), caller.Settings(held{newSnapshot(t)}), caller.Members(twoGates()), caller.WithPeers(s),
+	h := frontend.New(
+		frontend.Node("derby-browse-1"), frontend.Settings(held{newSnapshot(t)}), frontend.Members(twoGates()), frontend.WithPeers(s),
 	).Handler()
 	req := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/folders/1", nil)
-	req.Header.Set(caller.HeaderCall, "01JDXK3N9YVQ6V2W4T8QF5J0RZ")
+	req.Header.Set(frontend.HeaderCall, "01JDXK3N9YVQ6V2W4T8QF5J0RZ")
 
 	for k, v := range header {
 		req.Header.Set(k, v)
@@ -80,9 +80,9 @@
 	w := send(t, s, nil)
 	assert.Equal(t, w.Code, http.StatusTooManyRequests)
 	assert.Equal(t, w.Header().Get("Retry-After"), "1")
-	assert.Equal(t, w.Header().Get(caller.HeaderRetryMs), "420")
-	assert.Equal(t, w.Header().Get(caller.HeaderRan), "not-run")
-	assert.Equal(t, w.Header().Get(caller.HeaderReason), "admission.share")
+	assert.Equal(t, w.Header().Get(frontend.HeaderRetryMs), "420")
+	assert.Equal(t, w.Header().Get(frontend.HeaderRan), "not-run")
+	assert.Equal(t, w.Header().Get(frontend.HeaderReason), "admission.share")
 	assert.Equal(t, len(s.sent), 1)
 	golden.Assert(t, w.Body.String(), "turned_away.golden")
 }
@@ -95,14 +95,14 @@
 	assert.Equal(t, len(s.sent), 2)
 	assert.Assert(t, s.to[0] != s.to[1])
 	assert.Equal(t, s.sent[1].Attempt, 2)
-	assert.Equal(t, w.Header().Get(caller.HeaderAttempts), "2")
+	assert.Equal(t, w.Header().Get(frontend.HeaderAttempts), "2")
 }
 
 // A layer above is already trying again. If each layer did, a chain of calls
 // would multiply the load.
 func TestACallThatALayerAboveRepeatsIsSentOnce(t *testing.T) {
 	s := &scripted{answer: refuses(admission.ErrWait, call.RanNo)}
-	send(t, s, map[string]string{caller.HeaderAttempt: "2", caller.HeaderDepth: "3"})
+	send(t, s, map[string]string{frontend.HeaderAttempt: "2", frontend.HeaderDepth: "3"})
 	assert.Equal(t, len(s.sent), 1)
 	assert.Equal(t, s.sent[0].Attempt, 2)
 	assert.Equal(t, s.sent[0].Depth, 4)
@@ -118,10 +118,10 @@
 			return gate.Reply{}, peer.ErrBroken.Wrap(ctx.Err())
 		}}
 		start := time.Now()
-		w := send(t, s, map[string]string{caller.HeaderDeadline: strconv.Itoa(300)})
+		w := send(t, s, map[string]string{frontend.HeaderDeadline: strconv.Itoa(300)})
 		assert.Equal(t, w.Code, http.StatusGatewayTimeout)
-		assert.Equal(t, w.Header().Get(caller.HeaderReason), "entry.deadline")
-		assert.Equal(t, w.Header().Get(caller.HeaderRan), "unknown")
+		assert.Equal(t, w.Header().Get(frontend.HeaderReason), "entry.deadline")
+		assert.Equal(t, w.Header().Get(frontend.HeaderRan), "unknown")
 		assert.Equal(t, time.Since(start), 300*time.Millisecond)
 		assert.Assert(t, time.Duration(s.sent[0].Remaining) < 300*time.Millisecond, "the gate gives up first")
 	})
--- a/internal/caller/caller.go
+++ b/internal/frontend/frontend.go
@@ -1,11 +1,11 @@
-// Package caller speaks HTTP with callers: the entry of a call's path.
+// Package frontend speaks HTTP with callers: the entry of a call's path.
 //
 // The pipe is decode, route, deadline, attempt, answer. Each stage is a filter
 // that can be read by itself.
 //
-//	entry := caller.New(caller.Settings(holder), caller.Members(table), caller.Peers(client))
+//	entry := frontend.New(frontend.Settings(holder), frontend.Members(table), frontend.Peers(client))
 //	http.Serve(listener, entry.Handler())
-package caller
+package frontend
 
 import (
 	"context"
--- a/internal/caller/home_test.go
+++ b/internal/frontend/home_test.go
@@ -1,4 +1,4 @@
-package caller_test
+package frontend_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/gate"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/once"
@@ -44,13 +44,13 @@
 			return gate.Reply{Answer: &call.Answer{Status: http.StatusOK, Ran: call.RanYes}}, nil
 		}
 	}}
-	h := caller.New(
-		caller.Node("a"), caller.Settings(held{snapshotOf(t, strings.Replace(tree, `"Idempotent": true`, `"Idempotent": false`, 1))}),
-		caller.Members(twoGates()), caller.WithPeers(s), caller.Nodes(home),
+	h := frontend.New(
+		frontend.Node("a"), frontend.Settings(held{snapshotOf(t, strings.Replace(tree, `"Idempotent": true`, `"Idempotent": false`, 1))}),
+		frontend.Members(twoGates()), frontend.WithPeers(s), frontend.Nodes(home),
 	).Handler()
 
 	req := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/folders/1", nil)
-	req.Header.Set(caller.HeaderKey, key.Home{Node: "b", Life: "life", Generation: 1}.Key("token"))
+	req.Header.Set(frontend.HeaderKey, key.Home{Node: "b", Life: "life", Generation: 1}.Key("token"))
 
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, req)
@@ -92,20 +92,20 @@
 		home.state.Store(uint32(membership.StateAlive))
 
 		s := &scripted{answer: refuses(once.ErrLeaving, call.RanUnknown)}
-		h := caller.New(
-			caller.Node("a"), caller.Settings(held{snapshotOf(t, strings.Replace(tree, `"Idempotent": true`, `"Idempotent": false`, 1))}),
-			caller.Members(twoGates()), caller.WithPeers(s), caller.Nodes(home),
+		h := frontend.New(
+			frontend.Node("a"), frontend.Settings(held{snapshotOf(t, strings.Replace(tree, `"Idempotent": true`, `"Idempotent": false`, 1))}),
+			frontend.Members(twoGates()), frontend.WithPeers(s), frontend.Nodes(home),
 		).Handler()
 
 		req := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/folders/1", nil)
-		req.Header.Set(caller.HeaderKey, key.Home{Node: "b", Life: "life", Generation: 1}.Key("token"))
+		req.Header.Set(frontend.HeaderKey, key.Home{Node: "b", Life: "life", Generation: 1}.Key("token"))
 
 		w := httptest.NewRecorder()
 		start := time.Now()
 		h.ServeHTTP(w, req)
 
 		assert.Equal(t, w.Code, http.StatusServiceUnavailable)
-		assert.Equal(t, w.Header().Get(caller.HeaderRan), string(call.RanUnknown))
+		assert.Equal(t, w.Header().Get(frontend.HeaderRan), string(call.RanUnknown))
 		assert.Assert(t, w.Header().Get("Retry-After") != "")
 		assert.Equal(t, len(s.sent), 1)
 		assert.Equal(t, time.Since(start), time.Duration(0))
--- a/internal/caller/options.go
+++ b/internal/frontend/options.go
@@ -1,4 +1,4 @@
-package caller
+package frontend
 
 import (
 	"context"
--- a/internal/caller/path_test.go
+++ b/internal/frontend/path_test.go
@@ -1,4 +1,4 @@
-package caller_test
+package frontend_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"github.com/pollencart/pollencart/internal/admission"
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/gate"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/peer"
@@ -70,9 +70,9 @@
 		_ = l.Close()
 	})
 
-	return caller.New(
-		caller.Node("derby-browse-2"), caller.Settings(held{newSnapshot(tb)}), caller.WithPeers(client),
-		caller.Members(fixed{{
+	return frontend.New(
+		frontend.Node("derby-browse-2"), frontend.Settings(held{newSnapshot(tb)}), frontend.WithPeers(client),
+		frontend.Members(fixed{{
 			ID: "derby-browse-1", PeerAddress: l.Addr().String(), State: membership.StateAlive,
 			Upstream: membership.Upstream{Service: "browse", State: membership.UpstreamReady, Slots: 100},
 		}}),
--- a/internal/caller/reasons_test.go
+++ b/internal/frontend/reasons_test.go
@@ -1,4 +1,4 @@
-package caller_test
+package frontend_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/pollencart/pollencart/internal/admission"
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/peer"
 	"github.com/pollencart/pollencart/internal/upstream"
 	"github.com/pollencart/pollencart/pkg/errs"
@@ -21,8 +21,8 @@
 	assert.NilError(t, err)
 
 	for _, e := range []*errs.Error{
-		caller.ErrNoSettings, caller.ErrLeaving, caller.ErrNoRoute, caller.ErrHeader, caller.ErrBody, caller.ErrNoUpstream,
-		caller.ErrDeadline, caller.ErrGivenUp, caller.ErrCanceled, caller.ErrCrossed,
+		frontend.ErrNoSettings, frontend.ErrLeaving, frontend.ErrNoRoute, frontend.ErrHeader, frontend.ErrBody, frontend.ErrNoUpstream,
+		frontend.ErrDeadline, frontend.ErrGivenUp, frontend.ErrCanceled, frontend.ErrCrossed,
 		admission.ErrWait, admission.ErrFull, admission.ErrShare, admission.ErrDeadline, admission.ErrCanceled, admission.ErrClosed,
 		upstream.ErrNone, upstream.ErrUnreached, upstream.ErrShed, upstream.ErrNoAnswer, upstream.ErrTooLarge,
 		peer.ErrUnreachable, peer.ErrBroken,
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -8,7 +8,7 @@
 
 	"github.com/pollencart/pollencart/internal/admission"
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/gate"
 	"github.com/pollencart/pollencart/internal/selection"
 	"github.com/pollencart/pollencart/internal/upstream"
@@ -22,18 +22,18 @@
 	}))
 	n.gate = gate.New(n.config.ID, n.host, n.queue, gate.Recorder(n.recorder)).WithStarts(n.register).WithSuspects(n.suspects)
 	n.selector = selection.New(selection.Region(n.config.Region), selection.FailureDomain(n.config.FailureDomain))
-	n.entry = caller.New(
-		caller.Node(n.config.ID),
-		caller.Settings(n.holder),
-		caller.Members(n.table),
-		caller.WithPeers(n.client),
-		caller.Selector(n.selector),
-		caller.Recorder(n.recorder),
-		caller.WithIntake(n.intake),
-		caller.Home(n.home),
-		caller.Nodes(n.table),
-		caller.Shards(n.shards),
-		caller.Standstill(n.standstill),
+	n.entry = frontend.New(
+		frontend.Node(n.config.ID),
+		frontend.Settings(n.holder),
+		frontend.Members(n.table),
+		frontend.WithPeers(n.client),
+		frontend.Selector(n.selector),
+		frontend.Recorder(n.recorder),
+		frontend.WithIntake(n.intake),
+		frontend.Home(n.home),
+		frontend.Nodes(n.table),
+		frontend.Shards(n.shards),
+		frontend.Standstill(n.standstill),
 	)
 }
 
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"github.com/pollencart/pollencart/internal/caller"
 	"github.com/pollencart/pollencart/internal/event"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/idle"
 	"github.com/pollencart/pollencart/internal/once"
 	"github.com/pollencart/pollencart/internal/timeline"
@@ -147,7 +147,7 @@
 	defer cancel()
 
 	until(keys, n.home.Running)
-	n.giveUp(caller.ErrGivenUp)
+	n.giveUp(frontend.ErrGivenUp)
 	until(ctx, n.running)
 }
 
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -17,8 +17,8 @@
 	"github.com/oklog/ulid/v2"
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/caller"
 	"github.com/pollencart/pollencart/internal/config"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/harness"
 	"github.com/pollencart/pollencart/internal/node"
 	"github.com/pollencart/pollencart/internal/operator"
@@ -194,7 +194,7 @@
 	status int
 	header http.Header
 	answer backend.Answer
-	away   caller.TurnedAway
+	away   frontend.TurnedAway
 }
 
 // send sends a request through a node.
--- a/internal/node/given_up_test.go
+++ b/internal/node/given_up_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/once"
 	"github.com/pollencart/pollencart/internal/peer"
 	"github.com/pollencart/pollencart/internal/standin/backend"
@@ -90,7 +90,7 @@
 	f := startFleet(t, drainIn(3*time.Second))
 	f.accept()
 
-	home := f.send(browser, http.MethodGet, "/folders/1", "", nil).header.Get(caller.HeaderHome)
+	home := f.send(browser, http.MethodGet, "/folders/1", "", nil).header.Get(frontend.HeaderHome)
 	taken := make(chan reply, 1)
 
 	go func() {
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -12,8 +12,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/caller"
 	"github.com/pollencart/pollencart/internal/config"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/once/shard"
 	"github.com/pollencart/pollencart/internal/standin/backend"
@@ -223,7 +223,7 @@
 		f.wait("the answer of "+text, func() bool {
 			r := f.send(other, http.MethodPost, "/uploads/1", "gift aid", upload(text))
 
-			return r.status == http.StatusOK && (text != donation || r.header.Get(caller.HeaderRepeat) == "true")
+			return r.status == http.StatusOK && (text != donation || r.header.Get(frontend.HeaderRepeat) == "true")
 		})
 	}
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,11 +18,11 @@
 	"github.com/pollencart/pollencart/internal/acceptance"
 	"github.com/pollencart/pollencart/internal/admission"
 	"github.com/pollencart/pollencart/internal/bootstrap"
-	"github.com/pollencart/pollencart/internal/caller"
 	"github.com/pollencart/pollencart/internal/config"
 	"github.com/pollencart/pollencart/internal/credentials"
 	"github.com/pollencart/pollencart/internal/drain"
 	"github.com/pollencart/pollencart/internal/event"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/gate"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/once"
@@ -75,7 +75,7 @@
 	host     *upstream.Host
 	gate     *gate.Gate
 	selector *selection.Selector
-	entry    *caller.Entry
+	entry    *frontend.Entry
 	home     *once.Home
 	shards   *shard.Keeper
 	register *attempt.Register
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/once"
 	"github.com/pollencart/pollencart/internal/once/attempt"
 	"github.com/pollencart/pollencart/internal/once/key"
@@ -52,7 +52,7 @@
 		n.server.Handle(method, h)
 	}
 
-	n.server.Handle(caller.MethodOnce, peer.Typed(within(n.work, n.entry.ServeOnce)))
+	n.server.Handle(frontend.MethodOnce, peer.Typed(within(n.work, n.entry.ServeOnce)))
 	n.server.Handle(once.MethodAdopt, peer.Typed(n.home.ServeAdopt(n.shards)))
 	n.server.Handle(shard.MethodPull, peer.Typed(n.shards.Serve))
 	n.server.Handle(shard.MethodPush, peer.Typed(n.shards.ServePush))
--- a/internal/node/once_test.go
+++ b/internal/node/once_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/once/shard"
 	"github.com/pollencart/pollencart/internal/standin/backend"
 	"github.com/pollencart/pollencart/internal/standin/platform"
@@ -31,7 +31,7 @@
 func upload(key string) map[string]string {
 	h := map[string]string{backend.HeaderEcho: "mine"}
 	if key != "" {
-		h[caller.HeaderKey] = key
+		h[frontend.HeaderKey] = key
 	}
 
 	return h
@@ -49,15 +49,15 @@
 	first := f.send(0, http.MethodPost, "/uploads/1", "gift aid", upload(""))
 	assert.Equal(t, first.status, http.StatusOK)
 
-	key := first.header.Get(caller.HeaderKey)
+	key := first.header.Get(frontend.HeaderKey)
 	assert.Assert(t, key != "")
 
 	for i := range f.hosts {
 		r := f.send(i, http.MethodPost, "/uploads/1", "gift aid", upload(key))
 		assert.Equal(t, r.status, http.StatusOK)
 		assert.DeepEqual(t, r.answer, first.answer)
-		assert.Equal(t, r.header.Get(caller.HeaderRepeat), "true")
-		assert.Equal(t, r.header.Get(caller.HeaderKey), key)
+		assert.Equal(t, r.header.Get(frontend.HeaderRepeat), "true")
+		assert.Equal(t, r.header.Get(frontend.HeaderKey), key)
 	}
 
 	assert.Equal(t, f.runs(key), 1)
@@ -72,7 +72,7 @@
 	f := startFleet(t)
 	f.accept()
 
-	home := f.send(3, http.MethodGet, "/folders/1", "", nil).header.Get(caller.HeaderHome)
+	home := f.send(3, http.MethodGet, "/folders/1", "", nil).header.Get(frontend.HeaderHome)
 	key := home + ".enrolment-1"
 
 	var wg sync.WaitGroup
@@ -101,7 +101,7 @@
 	f.accept()
 
 	first := f.send(2, http.MethodPost, "/uploads/1", "gift aid", upload(""))
-	key := first.header.Get(caller.HeaderKey)
+	key := first.header.Get(frontend.HeaderKey)
 
 	h := f.hosts[2]
 	h.stop()
@@ -148,7 +148,7 @@
 	f.accept()
 
 	first := f.send(0, http.MethodPost, "/uploads/1", "one", upload(""))
-	key := first.header.Get(caller.HeaderKey)
+	key := first.header.Get(frontend.HeaderKey)
 
 	r := f.send(1, http.MethodPost, "/uploads/1", "two", upload(key))
 	assert.Equal(t, r.away.ID, "once.mismatch")
@@ -210,7 +210,7 @@
 	for i := range f.hosts {
 		r := f.send(i, http.MethodPost, "/uploads/1", "gift aid", upload("donation-2"))
 		assert.Equal(t, r.status, http.StatusOK)
-		assert.Equal(t, r.header.Get(caller.HeaderRepeat), "true")
+		assert.Equal(t, r.header.Get(frontend.HeaderRepeat), "true")
 	}
 
 	assert.Equal(t, f.runs("donation-2"), 1)
@@ -236,7 +236,7 @@
 
 	r := f.send(other, http.MethodPost, "/uploads/1", "gift aid", upload("donation-1"))
 	f.assertServed(r)
-	assert.Equal(t, r.header.Get(caller.HeaderRepeat), "true")
+	assert.Equal(t, r.header.Get(frontend.HeaderRepeat), "true")
 
 	// A new key of the same shard is started at once.
 	r = f.send(other, http.MethodPost, "/uploads/1", "gift aid", upload(sibling(l, "donation-1")))
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -17,8 +17,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/caller"
 	"github.com/pollencart/pollencart/internal/config"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/standin/backend"
 	"github.com/pollencart/pollencart/pkg/settings"
 )
@@ -51,7 +51,7 @@
 // get sends a call that has a time limit and waits for its whole answer.
 func (c *link) get(id, path string, limit, work time.Duration) (reply, error) {
 	return c.exchange(fmt.Sprintf("GET %s HTTP/1.1\r\nHost: a\r\n%s: %s\r\n%s: %d\r\n%s: %d\r\n\r\n",
-		path, caller.HeaderCall, id, caller.HeaderDeadline, limit.Milliseconds(), backend.HeaderWorkMs, work.Milliseconds()))
+		path, frontend.HeaderCall, id, frontend.HeaderDeadline, limit.Milliseconds(), backend.HeaderWorkMs, work.Milliseconds()))
 }
 
 func (c *link) exchange(request string) (reply, error) {
--- a/internal/once/caller_test.go
+++ b/internal/once/caller_test.go
@@ -12,7 +12,7 @@
 	"github.com/oklog/ulid/v2"
 
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 )
 
 // tokenOf is what the caller sees as one key, also where a mutant renames it.
@@ -56,7 +56,7 @@
 	const limit = 5 * time.Second
 
 	req := httptest.NewRequest(http.MethodPost, "/uploads/1", strings.NewReader("gift aid"))
-	req.Header.Set(caller.HeaderKey, p.mutate(key))
+	req.Header.Set(frontend.HeaderKey, p.mutate(key))
 
 	start := time.Now()
 	rec := httptest.NewRecorder()
@@ -77,7 +77,7 @@
 }
 
 func (w *world) note(key string, rec *httptest.ResponseRecorder) {
-	ran := call.Ran(rec.Header().Get(caller.HeaderRan))
+	ran := call.Ran(rec.Header().Get(frontend.HeaderRan))
 	token := tokenOf(key)
 
 	if rec.Code == http.StatusOK && rec.Body.String() != token {
@@ -85,7 +85,7 @@
 	}
 
 	if rec.Code != http.StatusOK {
-		var t caller.TurnedAway
+		var t frontend.TurnedAway
 		if json.Unmarshal(rec.Body.Bytes(), &t) != nil || t.Ran != ran {
 			w.fault("%s: refusal %s", key, rec.Body)
 		}
--- a/internal/once/network_test.go
+++ b/internal/once/network_test.go
@@ -9,7 +9,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/gate"
 	"github.com/pollencart/pollencart/internal/once"
 	"github.com/pollencart/pollencart/internal/once/shard"
@@ -107,7 +107,7 @@
 	switch method {
 	case gate.MethodRun:
 		return typed(ctx, body, p.gate.Serve)
-	case caller.MethodOnce:
+	case frontend.MethodOnce:
 		return typed(ctx, body, func(ctx context.Context, c call.Call) (gate.Reply, error) {
 			c.Key = p.mutate(c.Key)
 
--- a/internal/once/world_test.go
+++ b/internal/once/world_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/pollencart/pollencart/internal/admission"
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/gate"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/once"
@@ -70,7 +70,7 @@
 	home     *once.Home
 	register *attempt.Register
 	gate     *gate.Gate
-	entry    *caller.Entry
+	entry    *frontend.Entry
 	handler  http.Handler
 	keeper   *shard.Keeper
 	stop     context.CancelFunc
@@ -121,8 +121,8 @@
 	}
 
 	p.gate = gate.New(nodeID(i), p, queue).WithStarts(starts)
-	p.entry = caller.New(caller.Node(nodeID(i)), caller.Settings(p), caller.Members(w), caller.Nodes(w),
-		caller.WithPeers(p), caller.Home(p.home), caller.Shards(beliefs{p}))
+	p.entry = frontend.New(frontend.Node(nodeID(i)), frontend.Settings(p), frontend.Members(w), frontend.Nodes(w),
+		frontend.WithPeers(p), frontend.Home(p.home), frontend.Shards(beliefs{p}))
 	p.handler = p.entry.Handler()
 
 	return p
@@ -185,10 +185,10 @@
 func (startAll) Start(call.Ticket) error { return nil }
 func (startAll) Close(call.Ticket) bool  { return true }
 
-// Load implements caller.Snapshots.
+// Load implements frontend.Snapshots.
 func (p *proc) Load() *settings.Snapshot { return p.w.snapshot }
 
-// Serving implements caller.Serving: beliefs are wrong all the time.
+// Serving implements frontend.Serving: beliefs are wrong all the time.
 func (w *world) Serving(string) []membership.Record {
 	var out []membership.Record
 
@@ -201,7 +201,7 @@
 	return out
 }
 
-// Find implements caller.Finder.
+// Find implements frontend.Finder.
 func (w *world) Find(id string) (membership.Record, bool) {
 	for i := range nodes {
 		if nodeID(i) == id {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -16,7 +16,7 @@
 	"github.com/oklog/ulid/v2"
 
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/harness"
 	"github.com/pollencart/pollencart/internal/idle"
 	"github.com/pollencart/pollencart/internal/standin/backend"
@@ -240,7 +240,7 @@
 	req.Header.Set(backend.HeaderEcho, a.echo)
 
 	if a.key != "" {
-		req.Header.Set(caller.HeaderKey, a.key)
+		req.Header.Set(frontend.HeaderKey, a.key)
 	}
 
 	if a.crash != "" {
@@ -275,17 +275,17 @@
 		return outcome{reason: "answer cut short: " + err.Error()}
 	}
 
-	ran := call.Ran(resp.Header.Get(caller.HeaderRan))
+	ran := call.Ran(resp.Header.Get(frontend.HeaderRan))
 
 	if resp.StatusCode != http.StatusOK {
-		var t caller.TurnedAway
+		var t frontend.TurnedAway
 
 		_ = json.Unmarshal(data, &t)
 
 		stayed := t.NotForwarded || notStarted[t.ID]
 
 		return outcome{ran: ran, stayed: stayed, reason: fmt.Sprintf("call %s status %d %s %s (%s)",
-			resp.Header.Get(caller.HeaderCall), resp.StatusCode, t.ID, t.Detail, ran)}
+			resp.Header.Get(frontend.HeaderCall), resp.StatusCode, t.ID, t.Detail, ran)}
 	}
 
 	c.verify(data, a, req.URL.Path, body)
@@ -302,7 +302,7 @@
 			continue
 		}
 
-		if name := h.Get(caller.HeaderHome); name != "" && host.ID == h.Get(caller.HeaderNode) {
+		if name := h.Get(frontend.HeaderHome); name != "" && host.ID == h.Get(frontend.HeaderNode) {
 			c.homes.Store(i, name)
 		}
 	}
--- a/internal/soak/kept.go
+++ b/internal/soak/kept.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/pollencart/pollencart/internal/call"
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/harness"
 	"github.com/pollencart/pollencart/internal/idle"
 	"github.com/pollencart/pollencart/pkg/settings"
@@ -117,8 +117,8 @@
 		k.close()
 	}
 
-	ran := call.Ran(resp.Header.Get(caller.HeaderRan))
+	ran := call.Ran(resp.Header.Get(frontend.HeaderRan))
 
 	return resp.StatusCode != http.StatusOK && ran != call.RanNo, fmt.Sprintf("call %s status %d %s (%s)",
-		resp.Header.Get(caller.HeaderCall), resp.StatusCode, resp.Header.Get(caller.HeaderReason), ran)
+		resp.Header.Get(frontend.HeaderCall), resp.StatusCode, resp.Header.Get(frontend.HeaderReason), ran)
 }
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -20,7 +20,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/oklog/ulid/v2"
 
-	"github.com/pollencart/pollencart/internal/caller"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/standin/backend"
 	"github.com/pollencart/pollencart/pkg/settings"
 )
@@ -226,7 +226,7 @@
 	req.Header.Set(backend.HeaderEcho, id)
 
 	if q.Caller != "" {
-		req.Header.Set(caller.HeaderCaller, q.Caller)
+		req.Header.Set(frontend.HeaderCaller, q.Caller)
 	}
 
 	for k, v := range q.Header {
@@ -237,7 +237,7 @@
 
 	if q.Keyed {
 		o.key = r.key(node, id)
-		req.Header.Set(caller.HeaderKey, o.key)
+		req.Header.Set(frontend.HeaderKey, o.key)
 		req.GetBody = nil // the transport must not send an upload twice
 	}
 
@@ -253,11 +253,11 @@
 	}
 
 	o.status = resp.StatusCode
-	o.tries, _ = strconv.Atoi(resp.Header.Get(caller.HeaderAttempts))
+	o.tries, _ = strconv.Atoi(resp.Header.Get(frontend.HeaderAttempts))
 	r.learn(node, resp.Header)
 
 	if o.status != http.StatusOK {
-		var t caller.TurnedAway
+		var t frontend.TurnedAway
 		if json.Unmarshal(data, &t) == nil {
 			o.reason = t.ID
 		}
@@ -287,7 +287,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if home := h.Get(caller.HeaderHome); home != "" {
+	if home := h.Get(frontend.HeaderHome); home != "" {
 		r.homes[node] = home
 	}
 }
