--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -81,8 +81,8 @@
 	register *attempt.Register
 	suspects *poison.Watch
 	serves   string // the service of the backend server that announced itself last
-	// standstill notices when this process stands still.
-	standstill *stall.Watchdog
+	// stall notices when this process stands still.
+	stall *stall.Watchdog
 
 	listeners      []net.Listener
 	callerListener net.Listener
@@ -92,7 +92,7 @@
 
 // New returns a node that does not listen yet.
 func New(c config.Config, logger *slog.Logger) *Node {
-	n := &Node{config: c, intake: drain.New(), standstill: stall.New()}
+	n := &Node{config: c, intake: drain.New(), stall: stall.New()}
 	n.taking, n.stopTaking = context.WithCancel(context.Background())
 	n.work, n.giveUp = context.WithCancelCause(context.Background())
 	n.recorder = timeline.New(timeline.Node(c.ID), timeline.Logger(logger))
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -25,7 +25,7 @@
 	n.home = once.New(n.config.ID, life, once.Recorder(n.recorder), once.WithShards(n.shards))
 	n.register = attempt.NewRegister(life, attempt.DefaultBound)
 	n.suspects = poison.NewWatch(poison.Self{Node: n.config.ID, Life: life, Address: n.config.PeerAddress},
-		n.table, n.client, n.recorder).WithStandstills(n.standstill)
+		n.table, n.client, n.recorder).WithStandstills(n.stall)
 }
 
 // domains returns all failure domains of the settings in force.
@@ -68,7 +68,7 @@
 func (n *Node) runOnce(ctx context.Context) {
 	var running sync.WaitGroup
 
-	for _, f := range []func(context.Context){n.home.Rotate, n.shards.Run, n.standstill.Run, n.suspects.Run} {
+	for _, f := range []func(context.Context){n.home.Rotate, n.shards.Run, n.stall.Run, n.suspects.Run} {
 		running.Go(func() { f(ctx) })
 	}
 
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -60,14 +60,14 @@
 
 // Runner runs calls on one backend server.
 type Runner struct {
-	options Options
-	nested  *nestedcall.Routes
-	closed  atomic.Bool
-	busy    atomic.Int64
+	options    Options
+	nestedcall *nestedcall.Routes
+	closed     atomic.Bool
+	busy       atomic.Int64
 }
 
 // New returns a runner.
-func New(o Options) *Runner { return &Runner{options: o, nested: nestedcall.New()} }
+func New(o Options) *Runner { return &Runner{options: o, nestedcall: nestedcall.New()} }
 
 // Close turns away what waits and what comes from now on; what the backend server runs
 // goes on.
@@ -103,7 +103,7 @@
 	w := slots.Work{
 		Route: in.Route, Rank: in.Rank, Target: now.Add(in.Target()), Deadline: now.Add(in.Remaining()), Elsewhere: in.Elsewhere,
 		Nearby: in.Nearby,
-		Nested: r.nested.Note(in.Route, in.Origin),
+		Nested: r.nestedcall.Note(in.Route, in.Origin),
 	}
 
 	if w.Nested {
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -193,5 +193,5 @@
 	defer cancel()
 
 	n.gossip.Leave(ctx)
-	n.rendezvous.Leave(ctx)
+	n.discovery.Leave(ctx)
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -76,19 +76,19 @@
 	epoch      *epoch.Current // of the store
 	store      *platform.Store
 	holder     *route.Holder
-	feed       *configsync.Feed
-	rendezvous *discovery.Rendezvous
-	departures *tombstone.Departures
+	configsync *configsync.Feed
+	discovery  *discovery.Rendezvous
+	tombstone  *tombstone.Departures
 
 	host  *announce.Host
 	queue *slots.Queue
 	pool  *backend.Pool
 	watch *poison.Watch
-	// standstill notices when this process stands still.
-	standstill *stall.Watchdog
-	runner     *runner.Runner
-	entry      *dispatch.Dispatcher
-	ingress    *ingress.Server
+	// stall notices when this process stands still.
+	stall   *stall.Watchdog
+	runner  *runner.Runner
+	entry   *dispatch.Dispatcher
+	ingress *ingress.Server
 
 	mu        sync.Mutex
 	instance  tombstone.Instance // that the connections of the pool lead to
@@ -101,7 +101,7 @@
 func New(c config.Config, logger *slog.Logger) *Sidecar {
 	m := meter.New()
 	n := &Sidecar{
-		config: c, budget: retrybudget.New(boundOf(c)), meter: m, holder: &route.Holder{}, intake: drain.New(), standstill: stall.New(),
+		config: c, budget: retrybudget.New(boundOf(c)), meter: m, holder: &route.Holder{}, intake: drain.New(), stall: stall.New(),
 		epoch: epoch.New(),
 	}
 	n.settings.Store(&c)
@@ -130,16 +130,16 @@
 		ID: c.Node, Incarnation: uint64(time.Now().UnixMicro()), Region: c.Region, FailureDomain: c.FailureDomain,
 		PeerAddress: c.PeerAddress, CallerAddress: c.CallerAddress, ControlAddress: c.AnnounceAddress, Capacity: uint32(c.LinkMbps),
 	}, n.recorder)
-	n.feed = configsync.New(configsync.Options{
+	n.configsync = configsync.New(configsync.Options{
 		Key: platform.ConfigurationKey, Decode: new(platform.Configurations).Decode, Store: n.store, Holder: n.holder,
 		Peers: n.client, Members: n.table, Recorder: n.recorder, FirstStart: c.FirstStart,
 		Epoch: n.epoch,
 	})
 	n.gossip = membership.NewGossip(
-		n.table, n.client, membership.Version(n.holder.Number), membership.Hear(n.feed.Hear), membership.WithEpochs(n.epoch),
+		n.table, n.client, membership.Version(n.holder.Number), membership.Hear(n.configsync.Hear), membership.WithEpochs(n.epoch),
 	)
-	n.rendezvous = discovery.New(n.store, n.table, n.gossip.Meet, n.recorder, c.FirstStart).WithEpoch(n.epoch)
-	n.departures = tombstone.New(n.store, n.client, n.table).WithEpoch(n.epoch, n.recorder)
+	n.discovery = discovery.New(n.store, n.table, n.gossip.Meet, n.recorder, c.FirstStart).WithEpoch(n.epoch)
+	n.tombstone = tombstone.New(n.store, n.client, n.table).WithEpoch(n.epoch, n.recorder)
 }
 
 // backend makes what leads to the backend server on this host.
@@ -148,9 +148,9 @@
 	n.pool = backend.New(c.BackendAddress, platform.Headers())
 	n.queue = slots.New()
 	n.watch = poison.NewWatch(poison.Self{Node: c.Node, Life: ulid.Make().String(), Address: c.PeerAddress}, n.table, n.client, n.recorder).
-		WithStandstills(n.standstill)
+		WithStandstills(n.stall)
 	n.host = announce.New(
-		announce.Recorder(n.recorder), announce.WithKeeper(n.departures), announce.Changed(n.changed), announce.Probe(n.probe),
+		announce.Recorder(n.recorder), announce.WithKeeper(n.tombstone), announce.Changed(n.changed), announce.Probe(n.probe),
 		announce.FirstStart(c.FirstStart), announce.Service(c.Service),
 	)
 	n.runner = runner.New(runner.Options{
@@ -176,9 +176,9 @@
 	n.server.Handle(membership.MethodDigest, peer.Typed(n.gossip.ServeDigest))
 	n.server.Handle(membership.MethodRecords, peer.Typed(n.gossip.ServeRecords))
 	n.server.Handle(forward.MethodRun, peer.Typed(n.runner.Serve))
-	n.feed.Register(n.server)
-	n.server.Handle(tombstone.MethodKeep, peer.Typed(n.departures.ServeKeep))
-	n.server.Handle(tombstone.MethodAsk, peer.Typed(n.departures.ServeAsk))
+	n.configsync.Register(n.server)
+	n.server.Handle(tombstone.MethodKeep, peer.Typed(n.tombstone.ServeKeep))
+	n.server.Handle(tombstone.MethodAsk, peer.Typed(n.tombstone.ServeAsk))
 
 	for method, h := range n.watch.Handlers() {
 		n.server.Handle(method, h)
@@ -274,7 +274,7 @@
 	var running sync.WaitGroup
 
 	for _, f := range []func(context.Context){
-		n.feed.Run, n.gossip.Run, n.rendezvous.Run, n.departures.Run, n.standstill.Run, n.watch.Run, n.begin,
+		n.configsync.Run, n.gossip.Run, n.discovery.Run, n.tombstone.Run, n.stall.Run, n.watch.Run, n.begin,
 		n.followEpoch,
 	} {
 		running.Go(func() { f(work) })
