--- a/internal/place/place.go
+++ b/internal/balancer/balancer.go
@@ -1,4 +1,4 @@
-// Package place decides to which node a call goes.
+// Package balancer decides to which node a call goes.
 //
 // # The load it answers
 //
@@ -24,11 +24,11 @@
 //
 // # Usage
 //
-//	p := place.New("derby")
-//	c, ok := p.Pick(candidates, place.Need{Route: "search", Target: 150 * time.Millisecond})
+//	p := balancer.New("derby")
+//	c, ok := p.Pick(candidates, balancer.Need{Route: "search", Target: 150 * time.Millisecond})
 //	a := p.Start(c.ID, "search")
-//	a.End(place.Answered, reply)
-package place
+//	a.End(balancer.Answered, reply)
+package balancer
 
 import (
 	"math/rand/v2"
@@ -36,7 +36,7 @@
 	"sync"
 	"time"
 
-	"github.com/pollencart/pollencart/internal/draw"
+	"github.com/pollencart/pollencart/internal/reservoir"
 )
 
 const (
@@ -147,7 +147,7 @@
 	defer p.mu.Unlock()
 
 	now := time.Now()
-	var near, far draw.Two[drawn]
+	var near, far reservoir.Two[drawn]
 
 	spare := choice{}
 
@@ -191,7 +191,7 @@
 }
 
 // better returns the cheaper of the two that were drawn.
-func (p *Placer) better(d draw.Two[drawn], n Need, now time.Time) choice {
+func (p *Placer) better(d reservoir.Two[drawn], n Need, now time.Time) choice {
 	var out choice
 
 	both, count := d.Both()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,12 +18,12 @@
 	"github.com/pollencart/pollencart/internal/acceptance"
 	"github.com/pollencart/pollencart/internal/admission"
 	"github.com/pollencart/pollencart/internal/bootstrap"
-	"github.com/pollencart/pollencart/internal/caller"
 	"github.com/pollencart/pollencart/internal/config"
 	"github.com/pollencart/pollencart/internal/credentials"
+	"github.com/pollencart/pollencart/internal/drain"
 	"github.com/pollencart/pollencart/internal/event"
+	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/gate"
-	"github.com/pollencart/pollencart/internal/intake"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/once"
 	"github.com/pollencart/pollencart/internal/once/attempt"
@@ -31,9 +31,9 @@
 	"github.com/pollencart/pollencart/internal/peer"
 	"github.com/pollencart/pollencart/internal/platform/etcd"
 	"github.com/pollencart/pollencart/internal/poison"
+	"github.com/pollencart/pollencart/internal/propagation"
 	"github.com/pollencart/pollencart/internal/selection"
-	"github.com/pollencart/pollencart/internal/spread"
-	"github.com/pollencart/pollencart/internal/standstill"
+	"github.com/pollencart/pollencart/internal/stall"
 	"github.com/pollencart/pollencart/internal/timeline"
 	"github.com/pollencart/pollencart/internal/upstream"
 	"github.com/pollencart/pollencart/pkg/errs"
@@ -46,7 +46,7 @@
 type Node struct {
 	config   config.Config
 	recorder *timeline.Recorder
-	intake   *intake.Intake
+	intake   *drain.Intake
 	inFlight atomic.Int64 // callers' requests
 	// taking ends once calls of callers are refused.
 	taking     context.Context //nolint:containedctx // as long as the node
@@ -62,8 +62,8 @@
 
 	store    *etcd.Store
 	acceptor *acceptance.Acceptor
-	holder   *spread.Holder
-	spreader *spread.Spreader
+	holder   *propagation.Holder
+	spreader *propagation.Spreader
 	started  time.Time
 
 	table  *membership.Table
@@ -75,14 +75,14 @@
 	host     *upstream.Host
 	gate     *gate.Gate
 	selector *selection.Selector
-	entry    *caller.Entry
+	entry    *frontend.Entry
 	home     *once.Home
 	shards   *shard.Keeper
 	register *attempt.Register
 	suspects *poison.Watch
 	serves   string // the service of the backend server that announced itself last
-	// standstill notices when this process stands still.
-	standstill *standstill.Watchdog
+	// stall notices when this process stands still.
+	stall *stall.Watchdog
 
 	listeners      []net.Listener
 	callerListener net.Listener
@@ -92,7 +92,7 @@
 
 // New returns a node that does not listen yet.
 func New(c config.Config, logger *slog.Logger) *Node {
-	n := &Node{config: c, intake: intake.New(), standstill: standstill.New()}
+	n := &Node{config: c, intake: drain.New(), stall: stall.New()}
 	n.taking, n.stopTaking = context.WithCancel(context.Background())
 	n.work, n.giveUp = context.WithCancelCause(context.Background())
 	n.recorder = timeline.New(timeline.Node(c.ID), timeline.Logger(logger))
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -3,9 +3,9 @@
 // what must last.
 //
 // A call comes in at ingress, dispatch chooses a node for it, and runner on that
-// node lets it in to the backend server. Nodes find each other by rendezvous and
-// know each other by membership; feed brings the configuration; announce follows
-// the backend server on the host, and departures keeps its leaving.
+// node lets it in to the backend server. Nodes find each other by discovery and
+// know each other by membership; configsync brings the configuration; announce follows
+// the backend server on the host, and tombstone keeps its leaving.
 //
 // # Usage
 //
@@ -26,27 +26,27 @@
 
 	"github.com/pollencart/pollencart/internal/announce"
 	"github.com/pollencart/pollencart/internal/backend"
-	"github.com/pollencart/pollencart/internal/departures"
+	"github.com/pollencart/pollencart/internal/balancer"
+	"github.com/pollencart/pollencart/internal/configsync"
+	"github.com/pollencart/pollencart/internal/discovery"
 	"github.com/pollencart/pollencart/internal/dispatch"
+	"github.com/pollencart/pollencart/internal/drain"
 	"github.com/pollencart/pollencart/internal/epoch"
 	"github.com/pollencart/pollencart/internal/event"
-	"github.com/pollencart/pollencart/internal/feed"
 	"github.com/pollencart/pollencart/internal/forward"
 	"github.com/pollencart/pollencart/internal/ingress"
-	"github.com/pollencart/pollencart/internal/intake"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/peer"
-	"github.com/pollencart/pollencart/internal/place"
 	"github.com/pollencart/pollencart/internal/poison"
-	"github.com/pollencart/pollencart/internal/rendezvous"
-	"github.com/pollencart/pollencart/internal/repeats"
+	"github.com/pollencart/pollencart/internal/retrybudget"
 	"github.com/pollencart/pollencart/internal/route"
 	"github.com/pollencart/pollencart/internal/runner"
 	"github.com/pollencart/pollencart/internal/sidecar/config"
 	"github.com/pollencart/pollencart/internal/sidecar/meter"
 	"github.com/pollencart/pollencart/internal/slots"
-	"github.com/pollencart/pollencart/internal/standstill"
+	"github.com/pollencart/pollencart/internal/stall"
 	"github.com/pollencart/pollencart/internal/timeline"
+	"github.com/pollencart/pollencart/internal/tombstone"
 	"github.com/pollencart/pollencart/platform"
 )
 
@@ -61,10 +61,10 @@
 type Sidecar struct {
 	config   config.Config                 // as at the start
 	settings atomic.Pointer[config.Config] // as read last
-	budget   *repeats.Budget
+	budget   *retrybudget.Budget
 	recorder *timeline.Recorder
 	meter    *meter.Meter
-	intake   *intake.Intake
+	intake   *drain.Intake
 	// withdrawn is set once other nodes are to send no calls here.
 	withdrawn atomic.Bool
 
@@ -76,22 +76,22 @@
 	epoch      *epoch.Current // of the store
 	store      *platform.Store
 	holder     *route.Holder
-	feed       *feed.Feed
-	rendezvous *rendezvous.Rendezvous
-	departures *departures.Departures
+	configsync *configsync.Feed
+	discovery  *discovery.Rendezvous
+	tombstone  *tombstone.Departures
 
 	host  *announce.Host
 	queue *slots.Queue
 	pool  *backend.Pool
 	watch *poison.Watch
-	// standstill notices when this process stands still.
-	standstill *standstill.Watchdog
-	runner     *runner.Runner
-	entry      *dispatch.Dispatcher
-	ingress    *ingress.Server
+	// stall notices when this process stands still.
+	stall   *stall.Watchdog
+	runner  *runner.Runner
+	entry   *dispatch.Dispatcher
+	ingress *ingress.Server
 
 	mu        sync.Mutex
-	instance  departures.Instance // that the connections of the pool lead to
+	instance  tombstone.Instance // that the connections of the pool lead to
 	listeners []net.Listener
 	callers   net.Listener // that of the callers, one of these
 	servers   []*http.Server
@@ -101,7 +101,7 @@
 func New(c config.Config, logger *slog.Logger) *Sidecar {
 	m := meter.New()
 	n := &Sidecar{
-		config: c, budget: repeats.New(boundOf(c)), meter: m, holder: &route.Holder{}, intake: intake.New(), standstill: standstill.New(),
+		config: c, budget: retrybudget.New(boundOf(c)), meter: m, holder: &route.Holder{}, intake: drain.New(), stall: stall.New(),
 		epoch: epoch.New(),
 	}
 	n.settings.Store(&c)
@@ -130,16 +130,16 @@
 		ID: c.Node, Incarnation: uint64(time.Now().UnixMicro()), Region: c.Region, FailureDomain: c.FailureDomain,
 		PeerAddress: c.PeerAddress, CallerAddress: c.CallerAddress, ControlAddress: c.AnnounceAddress, Capacity: uint32(c.LinkMbps),
 	}, n.recorder)
-	n.feed = feed.New(feed.Options{
+	n.configsync = configsync.New(configsync.Options{
 		Key: platform.ConfigurationKey, Decode: new(platform.Configurations).Decode, Store: n.store, Holder: n.holder,
 		Peers: n.client, Members: n.table, Recorder: n.recorder, FirstStart: c.FirstStart,
 		Epoch: n.epoch,
 	})
 	n.gossip = membership.NewGossip(
-		n.table, n.client, membership.Version(n.holder.Number), membership.Hear(n.feed.Hear), membership.WithEpochs(n.epoch),
+		n.table, n.client, membership.Version(n.holder.Number), membership.Hear(n.configsync.Hear), membership.WithEpochs(n.epoch),
 	)
-	n.rendezvous = rendezvous.New(n.store, n.table, n.gossip.Meet, n.recorder, c.FirstStart).WithEpoch(n.epoch)
-	n.departures = departures.New(n.store, n.client, n.table).WithEpoch(n.epoch, n.recorder)
+	n.discovery = discovery.New(n.store, n.table, n.gossip.Meet, n.recorder, c.FirstStart).WithEpoch(n.epoch)
+	n.tombstone = tombstone.New(n.store, n.client, n.table).WithEpoch(n.epoch, n.recorder)
 }
 
 // backend makes what leads to the backend server on this host.
@@ -148,9 +148,9 @@
 	n.pool = backend.New(c.BackendAddress, platform.Headers())
 	n.queue = slots.New()
 	n.watch = poison.NewWatch(poison.Self{Node: c.Node, Life: ulid.Make().String(), Address: c.PeerAddress}, n.table, n.client, n.recorder).
-		WithStandstills(n.standstill)
+		WithStandstills(n.stall)
 	n.host = announce.New(
-		announce.Recorder(n.recorder), announce.WithKeeper(n.departures), announce.Changed(n.changed), announce.Probe(n.probe),
+		announce.Recorder(n.recorder), announce.WithKeeper(n.tombstone), announce.Changed(n.changed), announce.Probe(n.probe),
 		announce.FirstStart(c.FirstStart), announce.Service(c.Service),
 	)
 	n.runner = runner.New(runner.Options{
@@ -163,7 +163,7 @@
 	c := n.config
 	n.entry = dispatch.New(dispatch.Options{
 		Node: c.Node, FailureDomain: c.FailureDomain, Service: c.Service, Names: platform.Headers(), Tables: n.holder,
-		Members: n.table, Peers: n.client, Own: n.runner, Placer: place.New(), Recorder: n.recorder, Meter: n.meter,
+		Members: n.table, Peers: n.client, Own: n.runner, Placer: balancer.New(), Recorder: n.recorder, Meter: n.meter,
 		Budget: n.budget, Intake: n.intake,
 	})
 	n.ingress = ingress.New(n.entry, ingress.Limits(n.holder), ingress.WithObserver(deliveries{n.recorder, n.meter}))
@@ -176,9 +176,9 @@
 	n.server.Handle(membership.MethodDigest, peer.Typed(n.gossip.ServeDigest))
 	n.server.Handle(membership.MethodRecords, peer.Typed(n.gossip.ServeRecords))
 	n.server.Handle(forward.MethodRun, peer.Typed(n.runner.Serve))
-	n.feed.Register(n.server)
-	n.server.Handle(departures.MethodKeep, peer.Typed(n.departures.ServeKeep))
-	n.server.Handle(departures.MethodAsk, peer.Typed(n.departures.ServeAsk))
+	n.configsync.Register(n.server)
+	n.server.Handle(tombstone.MethodKeep, peer.Typed(n.tombstone.ServeKeep))
+	n.server.Handle(tombstone.MethodAsk, peer.Typed(n.tombstone.ServeAsk))
 
 	for method, h := range n.watch.Handlers() {
 		n.server.Handle(method, h)
@@ -239,7 +239,7 @@
 
 	// Connections to an earlier start are dead. Some were not closed, and a call sent on
 	// one can't be told from a call that ran.
-	if start := (departures.Instance{ID: s.Instance, Started: s.Started}); start != n.instance {
+	if start := (tombstone.Instance{ID: s.Instance, Started: s.Started}); start != n.instance {
 		n.instance = start
 		n.pool.Forget()
 
@@ -274,7 +274,7 @@
 	var running sync.WaitGroup
 
 	for _, f := range []func(context.Context){
-		n.feed.Run, n.gossip.Run, n.rendezvous.Run, n.departures.Run, n.standstill.Run, n.watch.Run, n.begin,
+		n.configsync.Run, n.gossip.Run, n.discovery.Run, n.tombstone.Run, n.stall.Run, n.watch.Run, n.begin,
 		n.followEpoch,
 	} {
 		running.Go(func() { f(work) })
