--- a/internal/dispatch/balance_test.go
+++ b/internal/dispatch/balance_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/pollencart/pollencart/internal/balancer"
 	"github.com/pollencart/pollencart/internal/dispatch"
-	"github.com/pollencart/pollencart/internal/drain"
+	"github.com/pollencart/pollencart/internal/draining"
 	"github.com/pollencart/pollencart/internal/forward"
 	"github.com/pollencart/pollencart/internal/header"
 	"github.com/pollencart/pollencart/internal/ingress"
@@ -236,7 +236,7 @@
 	return dispatch.New(dispatch.Options{
 		Node: "e" + strconv.Itoa(i), FailureDomain: p.domain(i), Service: p.domain(i), Names: header.Default(), Tables: h, Members: f, Peers: f,
 		Placer: balancer.New(), Budget: retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}), Recorder: timeline.New(),
-		Intake: drain.New(),
+		Intake: draining.New(),
 	})
 }
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -304,7 +304,7 @@
 		}{{3, false, "/safe/x", 1}, {3, true, "/safe/x", 0}, {1, false, "/safe/x", 0}, {3, false, "/once/x", 0}} {
 			f := newFleet(c.nodes)
 			if c.leaving {
-				f.intake.Leave()
+				f.draining.Leave()
 			}
 
 			send(newDispatcher(f, holder(t)), c.path)
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/pollencart/pollencart/internal/balancer"
 	"github.com/pollencart/pollencart/internal/dispatch"
-	"github.com/pollencart/pollencart/internal/drain"
+	"github.com/pollencart/pollencart/internal/draining"
 	"github.com/pollencart/pollencart/internal/forward"
 	"github.com/pollencart/pollencart/internal/header"
 	"github.com/pollencart/pollencart/internal/ingress"
@@ -31,7 +31,7 @@
 	opened  []string
 	// elsewhere counts calls that are given up when their link is in doubt.
 	elsewhere int
-	intake    *drain.Intake
+	draining  *draining.Intake
 	asked     []string
 	seen      []forward.Request
 	reply     func(ctx context.Context, address string, in forward.Request) (forward.Reply, error)
@@ -88,7 +88,7 @@
 }
 
 func newFleet(nodes int) *fleet {
-	f := &fleet{dead: map[string]bool{}, intake: drain.New(), reply: answered}
+	f := &fleet{dead: map[string]bool{}, draining: draining.New(), reply: answered}
 	for i := range nodes {
 		f.records = append(f.records, membership.Record{
 			ID: "n" + strconv.Itoa(i), PeerAddress: "a" + strconv.Itoa(i), FailureDomain: "derby",
@@ -133,7 +133,7 @@
 	return dispatch.New(dispatch.Options{
 		Node: "me", FailureDomain: "derby", Service: "finder", Names: header.Default(), Tables: h, Members: f, Peers: f, Own: nil,
 		Placer: balancer.New(), Budget: retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}), Recorder: r,
-		Intake: f.intake,
+		Intake: f.draining,
 	})
 }
 
--- a/internal/dispatch/reach_test.go
+++ b/internal/dispatch/reach_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/pollencart/pollencart/internal/balancer"
 	"github.com/pollencart/pollencart/internal/dispatch"
-	"github.com/pollencart/pollencart/internal/drain"
+	"github.com/pollencart/pollencart/internal/draining"
 	"github.com/pollencart/pollencart/internal/header"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/retrybudget"
@@ -35,7 +35,7 @@
 	return dispatch.New(dispatch.Options{
 		Node: "host-of-the-caller", FailureDomain: "derby-0", Service: "finder", Names: header.Default(), Tables: holder(tb), Members: table,
 		Peers: f, Placer: balancer.New(), Budget: retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}),
-		Recorder: timeline.New(), Intake: drain.New(),
+		Recorder: timeline.New(), Intake: draining.New(),
 	}), f, table
 }
 
--- a/internal/drain/drain.go
+++ b/internal/draining/draining.go
@@ -1,4 +1,4 @@
-// Package drain decides which calls of callers a node takes while it is being stopped.
+// Package draining decides which calls of callers a node takes while it is being stopped.
 //
 // Callers learn of a stop late, or not at all if too few other nodes are ready, and go on
 // calling until the process has ended. A call that is taken then must still be answered,
@@ -12,12 +12,12 @@
 //
 // # Usage
 //
-//	i := drain.New()
+//	i := draining.New()
 //	i.Leave()
 //	i.Finish(end)
 //	i.Takes(limit) // reports whether limit is before end
 //	i.Close()
-package drain
+package draining
 
 import (
 	"sync/atomic"
--- a/internal/drain/drain_test.go
+++ b/internal/draining/draining_test.go
@@ -1,4 +1,4 @@
-package drain_test
+package draining_test
 
 import (
 	"testing"
@@ -6,11 +6,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/pollencart/pollencart/internal/drain"
+	"github.com/pollencart/pollencart/internal/draining"
 )
 
 func TestCallsAreTakenByTheirTimeLimit(t *testing.T) {
-	i := drain.New()
+	i := draining.New()
 	now := time.Now()
 	end := now.Add(time.Second)
 
--- a/internal/frontend/options.go
+++ b/internal/frontend/options.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/pollencart/pollencart/internal/drain"
+	"github.com/pollencart/pollencart/internal/draining"
 	"github.com/pollencart/pollencart/internal/membership"
 	"github.com/pollencart/pollencart/internal/once"
 	"github.com/pollencart/pollencart/internal/once/key"
@@ -86,7 +86,7 @@
 	o := Options{
 		Selector: selection.New(),
 		Recorder: timeline.New(),
-		Intake:   drain.New(),
+		Intake:   draining.New(),
 		Shards:   noOwners{},
 
 		Standstill: stall.New(),
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -29,7 +29,7 @@
 		frontend.WithPeers(n.client),
 		frontend.Selector(n.selector),
 		frontend.Recorder(n.recorder),
-		frontend.WithIntake(n.intake),
+		frontend.WithIntake(n.draining),
 		frontend.Home(n.home),
 		frontend.Nodes(n.table),
 		frontend.Shards(n.shards),
@@ -66,7 +66,7 @@
 		n.inFlight.Add(1)
 		defer n.inFlight.Add(-1)
 
-		if n.intake.Leaving() {
+		if n.draining.Leaving() {
 			w.Header().Set("Connection", "close")
 		}
 
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -101,7 +101,7 @@
 }
 
 func (n *Node) readyz(c echo.Context) error {
-	if n.intake.Leaving() {
+	if n.draining.Leaving() {
 		return c.String(http.StatusServiceUnavailable, "leaving\n")
 	}
 
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -105,7 +105,7 @@
 // nothing new is let in, and what is inside is finished.
 func (n *Node) drain() {
 	n.recorder.Record(event.NodeDraining, timeline.Entry{Detail: "within " + time.Duration(n.config.DrainTimeout).String()})
-	n.intake.Leave()
+	n.draining.Leave()
 	n.host.Leave()
 
 	stop{
@@ -117,13 +117,13 @@
 
 // retire goes on listening: who connects is told that this node leaves.
 func (n *Node) retire(end time.Time) {
-	n.intake.Finish(end)
+	n.draining.Finish(end)
 	n.callers.SetKeepAlivesEnabled(false)
 }
 
 // closeIntake refuses calls of callers, also those whose bodies have not come.
 func (n *Node) closeIntake() {
-	n.intake.Close()
+	n.draining.Close()
 	n.stopTaking()
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,7 +20,7 @@
 	"github.com/pollencart/pollencart/internal/bootstrap"
 	"github.com/pollencart/pollencart/internal/config"
 	"github.com/pollencart/pollencart/internal/credentials"
-	"github.com/pollencart/pollencart/internal/drain"
+	"github.com/pollencart/pollencart/internal/draining"
 	"github.com/pollencart/pollencart/internal/event"
 	"github.com/pollencart/pollencart/internal/frontend"
 	"github.com/pollencart/pollencart/internal/gate"
@@ -46,7 +46,7 @@
 type Node struct {
 	config   config.Config
 	recorder *timeline.Recorder
-	intake   *drain.Intake
+	draining *draining.Intake
 	inFlight atomic.Int64 // callers' requests
 	// taking ends once calls of callers are refused.
 	taking     context.Context //nolint:containedctx // as long as the node
@@ -92,7 +92,7 @@
 
 // New returns a node that does not listen yet.
 func New(c config.Config, logger *slog.Logger) *Node {
-	n := &Node{config: c, intake: drain.New(), stall: stall.New()}
+	n := &Node{config: c, draining: draining.New(), stall: stall.New()}
 	n.taking, n.stopTaking = context.WithCancel(context.Background())
 	n.work, n.giveUp = context.WithCancelCause(context.Background())
 	n.recorder = timeline.New(timeline.Node(c.ID), timeline.Logger(logger))
@@ -100,7 +100,7 @@
 
 	links := []peer.Option{
 		peer.WithClock(n.recorder.Clock()), peer.WithLinks(n.faults), peer.Address(c.PeerAddress),
-		peer.Lost(func(address string) { n.gossip.Doubt(address) }), peer.Patient(n.intake.Leaving),
+		peer.Lost(func(address string) { n.gossip.Doubt(address) }), peer.Patient(n.draining.Leaving),
 	}
 
 	if c.TLS != nil {
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -103,7 +103,7 @@
 
 // drain ends the service without cutting a call off.
 func (n *Sidecar) drain() {
-	n.intake.Leave()
+	n.draining.Leave()
 	n.recorder.Record(event.NodeDraining, timeline.Entry{})
 
 	began := time.Now()
@@ -112,7 +112,7 @@
 		callers:  n.ingress.Busy,
 		running:  func() int { return int(n.runner.Busy()) },
 		inFlight: func() int { return int(n.runner.Busy() + n.server.Running()) },
-		retire:   n.ingress.Retire, withdraw: n.withdraw, limitIntake: n.intake.Finish, closeGate: n.runner.Close, closeIntake: n.closeIntake,
+		retire:   n.ingress.Retire, withdraw: n.withdraw, limitIntake: n.draining.Finish, closeGate: n.runner.Close, closeIntake: n.closeIntake,
 		report: func(step string) {
 			n.recorder.Record(event.NodeDrainStep, timeline.Entry{Detail: step + ": " + n.unfinished()})
 		},
@@ -159,7 +159,7 @@
 
 // closeIntake refuses calls of callers. Who connects now is not waited for.
 func (n *Sidecar) closeIntake() {
-	n.intake.Close()
+	n.draining.Close()
 	n.ingress.Settle()
 }
 
--- a/internal/sidecar/listen.go
+++ b/internal/sidecar/listen.go
@@ -20,7 +20,7 @@
 // ErrListen is returned if an address can't be listened on.
 var ErrListen = errs.New("sidecar.listen", http.StatusServiceUnavailable, "can't listen")
 
-func (n *Sidecar) ready() bool { return n.holder.Number() > 0 && !n.intake.Leaving() }
+func (n *Sidecar) ready() bool { return n.holder.Number() > 0 && !n.draining.Leaving() }
 
 func (n *Sidecar) listen() error {
 	for _, h := range []struct {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -30,7 +30,7 @@
 	"github.com/pollencart/pollencart/internal/configsync"
 	"github.com/pollencart/pollencart/internal/discovery"
 	"github.com/pollencart/pollencart/internal/dispatch"
-	"github.com/pollencart/pollencart/internal/drain"
+	"github.com/pollencart/pollencart/internal/draining"
 	"github.com/pollencart/pollencart/internal/epoch"
 	"github.com/pollencart/pollencart/internal/event"
 	"github.com/pollencart/pollencart/internal/forward"
@@ -64,7 +64,7 @@
 	budget   *retrybudget.Budget
 	recorder *timeline.Recorder
 	meter    *meter.Meter
-	intake   *drain.Intake
+	draining *draining.Intake
 	// withdrawn is set once other nodes are to send no calls here.
 	withdrawn atomic.Bool
 
@@ -101,7 +101,7 @@
 func New(c config.Config, logger *slog.Logger) *Sidecar {
 	m := meter.New()
 	n := &Sidecar{
-		config: c, budget: retrybudget.New(boundOf(c)), meter: m, holder: &route.Holder{}, intake: drain.New(), stall: stall.New(),
+		config: c, budget: retrybudget.New(boundOf(c)), meter: m, holder: &route.Holder{}, draining: draining.New(), stall: stall.New(),
 		epoch: epoch.New(),
 	}
 	n.settings.Store(&c)
@@ -121,7 +121,7 @@
 	c := n.config
 	links := []peer.Option{
 		peer.WithClock(n.recorder.Clock()), peer.Address(c.PeerAddress), peer.WithDialTimeout(dialTimeout),
-		peer.Lost(func(address string) { n.gossip.Doubt(address) }), peer.Patient(n.intake.Leaving),
+		peer.Lost(func(address string) { n.gossip.Doubt(address) }), peer.Patient(n.draining.Leaving),
 		peer.Exchanged(func(e peer.Exchange) { n.meter.Exchanged(e, n.table.NearAt(e.Address)) }),
 	}
 	n.server = peer.NewServer(links...)
@@ -164,7 +164,7 @@
 	n.entry = dispatch.New(dispatch.Options{
 		Node: c.Node, FailureDomain: c.FailureDomain, Service: c.Service, Names: platform.Headers(), Tables: n.holder,
 		Members: n.table, Peers: n.client, Own: n.runner, Placer: balancer.New(), Recorder: n.recorder, Meter: n.meter,
-		Budget: n.budget, Intake: n.intake,
+		Budget: n.budget, Intake: n.draining,
 	})
 	n.ingress = ingress.New(n.entry, ingress.Limits(n.holder), ingress.WithObserver(deliveries{n.recorder, n.meter}))
 }
