--- a/internal/once/caller_test.go
+++ b/internal/once/caller_test.go
@@ -15,14 +15,15 @@
 	"github.com/pollencart/pollencart/internal/frontend"
 )
 
-// tokenOf is what the caller sees as one key, also where a mutant renames it.
+// tokenOf returns the part that identifies a key to its caller, also after a mutant renamed the
+// key.
 func tokenOf(key string) string {
 	token, _, _ := strings.Cut(key[strings.LastIndexByte(key, '.')+1:], "~")
 
 	return token
 }
 
-// mutate plays a home without one of its guards by changing the key's name.
+// mutate disables a guard of the owner by changing the name in the key.
 func (p *proc) mutate(text string) string {
 	if p.w.mutant.noRecord && !strings.Contains(text, ".") {
 		return tokenOf(text) + "~" + ulid.Make().String()
@@ -30,7 +31,7 @@
 
 	parts := strings.Split(text, ".")
 
-	const life, generation = 2, 3
+	const bootID, generation = 2, 3
 
 	if len(parts) != generation+2 {
 		return text
@@ -40,17 +41,17 @@
 		parts[len(parts)-1] = tokenOf(text) + "~" + ulid.Make().String()
 	}
 
-	if p.w.mutant.noLife && parts[1] == nodeID(p.index) {
-		parts[life] = p.home.Life()
+	if p.w.mutant.noBootID && parts[1] == nodeID(p.index) {
+		parts[bootID] = p.home.Life()
 	}
 
 	return strings.Join(parts, ".")
 }
 
-// send sends a call through a node and notes what its caller is told.
+// send sends a call through a node and records the outcome that its caller receives.
 func (w *world) send(via int, key string) {
 	p := w.proc(via)
-	froze := p.froze.Load()
+	stalls := p.stalls.Load()
 	<-p.running()
 
 	const limit = 5 * time.Second
@@ -62,68 +63,69 @@
 	rec := httptest.NewRecorder()
 	p.handler.ServeHTTP(rec, req)
 
-	// A frozen process can't answer; all others must, in time.
-	if late := time.Since(start) - limit; late > 0 && froze == p.froze.Load() {
-		w.fault("%s: answer %s after the deadline", key, late)
+	// A stalled process cannot answer; any other must answer before the deadline.
+	if late := time.Since(start) - limit; late > 0 && stalls == p.stalls.Load() {
+		w.violation("key %s: answered %s after the deadline", key, late)
 	}
 
 	<-p.running()
 
 	if p.ended() {
-		return // the caller sees a broken connection
+		return // the connection of the caller broke
 	}
 
-	w.note(key, rec)
+	w.recordReport(key, rec)
 }
 
-func (w *world) note(key string, rec *httptest.ResponseRecorder) {
+func (w *world) recordReport(key string, rec *httptest.ResponseRecorder) {
 	ran := call.Ran(rec.Header().Get(frontend.HeaderRan))
 	token := tokenOf(key)
 
 	if rec.Code == http.StatusOK && rec.Body.String() != token {
-		w.fault("%s: got the answer of %s", key, rec.Body)
+		w.violation("key %s: received the answer of key %s", key, rec.Body)
 	}
 
 	if rec.Code != http.StatusOK {
 		var t frontend.TurnedAway
 		if json.Unmarshal(rec.Body.Bytes(), &t) != nil || t.Ran != ran {
-			w.fault("%s: refusal %s", key, rec.Body)
+			w.violation("key %s: malformed refusal %s", key, rec.Body)
 		}
 	}
 
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	if w.told[token] == nil {
-		w.told[token] = map[call.Ran]int{}
+	if w.reported[token] == nil {
+		w.reported[token] = map[call.Ran]int{}
 	}
 
-	w.told[token][ran]++
+	w.reported[token][ran]++
 }
 
-func (w *world) fault(format string, args ...any) {
+func (w *world) violation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// check looks for broken promises.
+// check returns the violated invariants: no key runs twice, and no key that was reported as not run
+// ever runs.
 func (w *world) check() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	out := append([]string(nil), w.faults...)
+	out := append([]string(nil), w.violations...)
 
 	for token, n := range w.ran {
 		if n > 1 {
-			out = append(out, fmt.Sprintf("%s ran %d times", token, n))
+			out = append(out, fmt.Sprintf("key %s ran %d times", token, n))
 		}
 	}
 
-	for token, told := range w.told {
-		if told[call.RanNo] > 0 && (w.ran[token] > 0 || told[call.RanYes] > 0) {
-			out = append(out, fmt.Sprintf("%s ran %d times, told %v", token, w.ran[token], maps.Clone(told)))
+	for token, reported := range w.reported {
+		if reported[call.RanNo] > 0 && (w.ran[token] > 0 || reported[call.RanYes] > 0) {
+			out = append(out, fmt.Sprintf("key %s ran %d times, but its callers received %v", token, w.ran[token], maps.Clone(reported)))
 		}
 	}
 
--- a/internal/once/cost_test.go
+++ b/internal/once/cost_test.go
@@ -24,8 +24,8 @@
 	return call.Call{Method: http.MethodPost, URI: "/uploads/1", Body: []byte("gift aid"), Key: h.Name().Key(fmt.Sprint(n))}
 }
 
-// The home's share of a keyed call is bounded in allocations: the record, its
-// goroutine with a context of its own, the digest and the waiting channel.
+// Bounds the allocations per keyed call in the owner: the record, its goroutine with a context, the
+// digest and the channel of the waiting caller.
 func TestAllocationsPerKeyedCallAreBounded(t *testing.T) {
 	h := once.New("a", key.NewLife(1), once.WithTable(record.New(record.Records(1<<20))))
 	n := 0
@@ -37,7 +37,7 @@
 		assert.NilError(t, err)
 	})
 
-	t.Logf("%v allocations for each keyed call", allocations)
+	t.Logf("%v allocations per keyed call", allocations)
 	assert.Assert(t, allocations <= 24, "%v", allocations)
 }
 
@@ -53,19 +53,19 @@
 	}
 }
 
-// What keyed calls cost in a cut and after a crash: callers that make keys which
-// name their home lose none, since they take a home that they can reach; opaque
-// keys whose home is on the other side or dead are turned away at once.
-func TestHowManyKeyedCallsAreTurnedAway(t *testing.T) {
+// Bounds the keyed calls that are rejected during a network partition and after a crash. Callers
+// whose keys name their owner lose none, because they choose a reachable owner. Opaque keys whose
+// owner is unreachable or terminated are rejected immediately.
+func TestRejectedKeyedCallsAreBoundedDuringFaults(t *testing.T) {
 	s := uploadSettings(t)
 
 	for name, c := range map[string]struct {
 		fault         func(w *world)
-		named, opaque int // at most, in a hundred
+		named, opaque int // upper bounds per 100 calls
 	}{
 		"nothing": {func(*world) {}, 0, 0},
-		// Nodes here never learn of the cut; the few named ones ran out of attempts
-		// on gates behind it, and are told not-run.
+		// The membership view here does not reflect the partition. Calls with named keys that run
+		// out of attempts on unreachable gates are rejected as not run.
 		"domains cut":          {cutDomains, 10, 60},
 		"one of four crashed":  {func(w *world) { w.replace(3) }, 0, 40},
 		"platform down":        {func(w *world) { w.store.setDown(true) }, 0, 0},
@@ -80,14 +80,14 @@
 				c.fault(w)
 				time.Sleep(20 * time.Second)
 
-				named, opaque, longest := w.count(100)
+				named, opaque, longest := w.countRejected(100)
 
 				for i := range nodes {
 					w.proc(i).stop()
 				}
 
 				time.Sleep(time.Minute)
-				t.Logf("of 100 turned away: named %d, opaque %d; longest wait %s", named, opaque, longest)
+				t.Logf("rejected of 100 calls: named keys %d, opaque keys %d; longest wait %s", named, opaque, longest)
 				assert.Assert(t, named <= c.named && opaque <= c.opaque)
 				assert.Assert(t, longest < 100*time.Millisecond)
 			})
@@ -103,15 +103,14 @@
 	}
 }
 
-// count sends new keys of both kinds through node 0 and counts what is turned
-// away.
-func (w *world) count(n int) (named, opaque int, longest time.Duration) {
+// countRejected sends n new keys of each kind through node 0 and counts the rejected calls.
+func (w *world) countRejected(n int) (named, opaque int, longest time.Duration) {
 	send := func(text string) int {
 		began := time.Now()
 		w.send(0, text)
 		longest = max(longest, time.Since(began))
 
-		if w.told[tokenOf(text)][call.RanYes] > 0 {
+		if w.reported[tokenOf(text)][call.RanYes] > 0 {
 			return 0
 		}
 
--- a/internal/once/guard.go
+++ b/internal/once/guard.go
@@ -15,18 +15,18 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Methods that a gate serves to homes.
+// Peer methods that a gate serves to owners of keys.
 const (
 	MethodEpoch = "Once.Epoch"
 	MethodClose = "Once.Close"
 )
 
-// Epoch is a gate's answer to MethodEpoch.
+// Epoch is the reply to MethodEpoch.
 type Epoch struct {
 	Epoch string `msgpack:"Epoch"`
 }
 
-// Closed is a gate's answer to MethodClose.
+// Closed is the reply to MethodClose; it reports whether the attempt was closed before it started.
 type Closed struct {
 	Closed bool `msgpack:"Closed"`
 }
@@ -38,22 +38,22 @@
 
 type runKey struct{}
 
-// guard sends the attempts of keyed calls with tickets, one after the other, and
-// none after an ambiguous one.
+// guard sends the attempts of keyed calls with attempt tickets, one at a time, and sends none after
+// an ambiguous one.
 type guard struct {
 	home *Home
 	next Peers
 
 	mu     sync.Mutex
-	epochs map[string]string // of gates, by address
+	epochs map[string]string // epochs of gates by address
 }
 
-// Guard returns peers through which attempts of keyed calls are at most once.
+// Guard wraps peers so that each attempt of a keyed call starts at most once.
 func (h *Home) Guard(next Peers) Peers {
 	return &guard{home: h, next: next, epochs: map[string]string{}}
 }
 
-// Do sends the message; only attempts of calls that this home runs are changed.
+// Do sends the message. It adds tickets only to attempts of calls that this process runs.
 func (g *guard) Do(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error {
 	run, keyed := ctx.Value(runKey{}).(*attempt.Run)
 	if !keyed || method != gate.MethodRun {
@@ -63,7 +63,7 @@
 	reply := out.(*gate.Reply)
 	c := in.(call.Call)
 
-	for range 2 { // the second time with the epoch of a gate that started afresh
+	for range 2 { // retries once with the new epoch of a gate that was restarted or reset
 		if !run.Begin() {
 			reply.Refusal = call.Refuse(ErrAmbiguous, call.RanUnknown, time.Second)
 
@@ -77,14 +77,14 @@
 			return nil
 		}
 
-		g.forget(address)
+		g.forgetEpoch(address)
 	}
 
 	return nil
 }
 
-// attempt sends one attempt and says whether a backend server may have run it.
-// The reply is filled in any case.
+// attempt sends one attempt, fills in the reply and reports whether a backend server may have run
+// the call.
 func (g *guard) attempt(ctx context.Context, address string, lane peer.Lane, c call.Call, reply *gate.Reply) call.Ran {
 	epoch, err := g.epoch(ctx, address)
 	if err != nil {
@@ -108,7 +108,7 @@
 	}
 
 	ran := call.RanNo
-	if !g.surelyNot(err) && !g.close(ctx, address, t) {
+	if !g.neverSent(err) && !g.close(ctx, address, t) {
 		ran = call.RanUnknown
 
 		g.home.options.Recorder.Record(event.KeyAttemptLost, timeline.Entry{
@@ -121,20 +121,20 @@
 	return ran
 }
 
-// surelyNot reports that nothing of the message left this process.
-func (g *guard) surelyNot(err error) bool {
+// neverSent reports whether the error shows that no part of the message left this process.
+func (g *guard) neverSent(err error) bool {
 	return errors.Is(err, peer.ErrUnreachable) || errors.Is(err, peer.ErrFrameTooLarge)
 }
 
-// closeAgain is the pause before a gate is asked again to close an attempt.
-const closeAgain = 20 * time.Millisecond
+// closeRetryDelay is the pause before a request to close an attempt is retried.
+const closeRetryDelay = 20 * time.Millisecond
 
-// close asks the gate to never start the attempt. Only its word makes not-run of
-// a lost attempt: the attempt may wait in the buffer of a frozen process.
+// close asks the gate never to start the attempt. A lost attempt counts as not-run only after the
+// gate confirms this, since the message may still be buffered by a stalled gate process.
 //
-// What broke the attempt's connection often breaks the one that the question goes on, too,
-// while new ones work. Asked once only, the caller would be told that nobody knows whether
-// its upload ran, though the gate is there and can tell.
+// The request is retried until the timeout: the failure that broke the connection of the attempt
+// often breaks the connection of the request too, while new connections work. Without a retry the
+// outcome would be unknown although the gate is reachable.
 func (g *guard) close(ctx context.Context, address string, t call.Ticket) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.home.options.CloseTimeout)
 	defer cancel()
@@ -146,7 +146,7 @@
 			return out.Closed
 		}
 
-		idle.For(ctx, closeAgain)
+		idle.For(ctx, closeRetryDelay)
 	}
 
 	return false
@@ -174,7 +174,7 @@
 	return out.Epoch, nil
 }
 
-func (g *guard) forget(address string) {
+func (g *guard) forgetEpoch(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
--- a/internal/once/guard_test.go
+++ b/internal/once/guard_test.go
@@ -16,21 +16,21 @@
 	"github.com/pollencart/pollencart/internal/peer"
 )
 
-// closingGate is a gate whose connections broke; as many questions about the attempt as
-// are given get no answer on them either.
-type closingGate struct {
-	breaks int
-	asked  int
+// brokenGate is a gate whose connections break on each attempt and on the first requests to close
+// it.
+type brokenGate struct {
+	failures   int
+	closeCalls int
 }
 
-func (g *closingGate) Do(ctx context.Context, _ string, _ peer.Lane, method string, _, out any) error {
+func (g *brokenGate) Do(ctx context.Context, _ string, _ peer.Lane, method string, _, out any) error {
 	switch method {
 	case once.MethodEpoch:
 		*out.(*once.Epoch) = once.Epoch{Epoch: "1"}
 
 		return nil
 	case once.MethodClose:
-		if g.asked++; g.asked <= g.breaks {
+		if g.closeCalls++; g.closeCalls <= g.failures {
 			return peer.ErrBroken
 		}
 
@@ -42,8 +42,8 @@
 	return peer.ErrBroken
 }
 
-// upload sends a call through a home to the gate.
-func (g *closingGate) upload(t *testing.T) call.Ran {
+// upload runs one keyed call against the gate and returns what its refusal says about the run.
+func (g *brokenGate) upload(t *testing.T) call.Ran {
 	t.Helper()
 
 	h := once.New("a", key.NewLife(1))
@@ -65,33 +65,35 @@
 	return refusal.Ran
 }
 
-// The connections to a gate break all at once, that of the upload and the one on which the
-// gate is then asked whether the upload was started. The gate is well and has not seen it;
-// the caller was told that nobody knows, and could not send its upload again. The home's
-// lines have 502 and 403 in one millisecond, the gate's 406 two milliseconds later.
-func TestAGateIsAskedAgainWhetherItStartedAnAttempt(t *testing.T) {
+// All connections to a gate break at once: the one that carries the attempt and the one that
+// carries the close request. The gate is alive and never received the attempt, so the outcome must
+// be not-run rather than unknown, which would keep the caller from retrying its upload. In the
+// timeline the owner records events 502 and 403 within 1 ms and the gate records event 406 2 ms
+// later.
+func TestCloseRequestIsRetriedAfterBrokenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &closingGate{breaks: 2}
+		g := &brokenGate{failures: 2}
 
 		assert.Equal(t, g.upload(t), call.RanNo)
 	})
 }
 
-// A gate that can't be asked at all is given up soon, and nobody knows.
-func TestAGateThatNeverTellsLeavesAnAttemptUnknown(t *testing.T) {
+// A gate that stays unreachable leaves the outcome unknown once the close timeout has passed.
+func TestOutcomeIsUnknownIfGateNeverConfirmsClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &closingGate{breaks: 1 << 20}
+		g := &brokenGate{failures: 1 << 20}
 
 		assert.Equal(t, g.upload(t), call.RanUnknown)
 	})
 }
 
-// givenUp runs a key that hangs and is given up, and returns the refusal and how long it took.
-func givenUp(t *testing.T, send func(ctx context.Context, peers once.Peers, c call.Call) error) (*call.Refusal, time.Duration) {
+// runCancelledKey runs a key that hangs until it is cancelled, and returns the refusal and the
+// elapsed time.
+func runCancelledKey(t *testing.T, send func(ctx context.Context, peers once.Peers, c call.Call) error) (*call.Refusal, time.Duration) {
 	t.Helper()
 
 	h := once.New("a", key.NewLife(1))
-	peers := h.Guard(&closingGate{breaks: 1 << 20})
+	peers := h.Guard(&brokenGate{failures: 1 << 20})
 
 	time.AfterFunc(time.Second, h.GiveUp)
 
@@ -110,15 +112,16 @@
 	return refusal, time.Since(start)
 }
 
-// A key that hangs must not keep its caller waiting until the process is gone without a word.
-func TestAKeyThatIsGivenUpIsAnsweredByWhatIsKnown(t *testing.T) {
+// A key that hangs during shutdown must not keep its caller waiting until the process exits without
+// a reply.
+func TestCancelledKeyIsAnsweredWithKnownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, took := givenUp(t, func(context.Context, once.Peers, call.Call) error { return context.Canceled })
+		r, took := runCancelledKey(t, func(context.Context, once.Peers, call.Call) error { return context.Canceled })
 		assert.ErrorIs(t, r, once.ErrNotSent)
 		assert.Equal(t, r.Ran, call.RanNo)
 		assert.Equal(t, took, time.Second)
 
-		r, took = givenUp(t, func(ctx context.Context, peers once.Peers, c call.Call) error {
+		r, took = runCancelledKey(t, func(ctx context.Context, peers once.Peers, c call.Call) error {
 			var reply gate.Reply
 
 			assert.NilError(t, peers.Do(ctx, "gate", peer.LaneCalls, gate.MethodRun, c, &reply))
--- a/internal/once/handover.go
+++ b/internal/once/handover.go
@@ -12,62 +12,60 @@
 	"github.com/pollencart/pollencart/internal/peer"
 )
 
-// MethodAdopt is the peer method by which a home that leaves hands over the
-// records of a shard.
+// MethodAdopt is the peer method by which a draining owner hands over the records of a shard.
 const MethodAdopt = "Once.Adopt"
 
-// Adopt is a part of the records of a shard.
+// Adopt is one message of the handover of a shard.
 type Adopt struct {
 	Shard  int          `msgpack:"Shard"`
 	From   string       `msgpack:"From"`
 	Rows   []record.Row `msgpack:"Rows"`
 	Filter bloom.Filter `msgpack:"Filter"`
-	// Last says that all parts were sent, and Wait how long unseen keys are still
-	// unknown.
+	// Last marks the final message; Wait is how long keys without a record still end as unknown.
 	Last bool          `msgpack:"Last"`
 	Wait time.Duration `msgpack:"Wait"`
 }
 
-// Adopted is the answer of the successor.
+// Adopted is the reply of the successor.
 type Adopted struct {
 	Node string `msgpack:"Node"`
 	Life string `msgpack:"Life"`
 }
 
-// Shares is the part of the keeper that leaving needs.
-type Shares interface {
+// ShardKeeper is the part of shard.Keeper that a handover needs.
+type ShardKeeper interface {
 	Stop() map[int]time.Duration
 	Successor(i int) (membership.Record, bool)
 	List() shard.List
 	Transfer(ctx context.Context, successors map[int]shard.Self)
-	Adopt(i int, from string, wait time.Duration)
+	Adopt(i int, fromBootID string, wait time.Duration)
 }
 
 const (
-	// settleTime bounds how long a home that leaves waits for opaque keys that have
-	// not ended; the successor answers unknown to the rest.
-	settleTime = time.Second
-	// partBytes bounds one message of a handover.
-	partBytes = 512 << 10
-	rowBytes  = 256 // of a record without the body of its answer
+	// openKeysTimeout bounds how long a draining owner waits for running opaque keys; the successor
+	// answers unknown for those still running.
+	openKeysTimeout = time.Second
+	// maxPartBytes bounds the records in one message.
+	maxPartBytes     = 512 << 10
+	rowOverheadBytes = 256 // encoded size of a record without its answer body
 )
 
-// HandOver gives the opaque keys of this home to other nodes of its failure
-// domain, with their records, so that a planned stop costs no caller its answer.
-// The order makes it safe: this home stops first, then the successor has the records,
-// then the platform says who owns the shard.
-func (h *Home) HandOver(ctx context.Context, k Shares, peers Peers) {
+// HandOver transfers the opaque keys of this process, with their records, to other nodes of its
+// failure domain, so that a planned stop loses no outcome. The order keeps each shard with at most
+// one active owner: this process stops, then the successor receives the records, then the list on
+// the platform names the new owner.
+func (h *Home) HandOver(ctx context.Context, k ShardKeeper, peers Peers) {
 	owned := k.Stop()
 	if len(owned) == 0 {
 		return
 	}
 
-	h.waitOpaque(ctx)
+	h.waitForOpenKeys(ctx)
 
 	successors := map[int]shard.Self{}
 
 	for i, wait := range owned {
-		if successor, ok := h.handOver(ctx, k, peers, i, wait); ok {
+		if successor, ok := h.handOverShard(ctx, k, peers, i, wait); ok {
 			successors[i] = successor
 		}
 	}
@@ -75,10 +73,10 @@
 	k.Transfer(ctx, successors)
 }
 
-func (h *Home) waitOpaque(ctx context.Context) {
+func (h *Home) waitForOpenKeys(ctx context.Context) {
 	const pause = 5 * time.Millisecond
 
-	for began := time.Now(); h.table.OpenOpaque() > 0 && time.Since(began) < settleTime; {
+	for began := time.Now(); h.table.OpenOpaque() > 0 && time.Since(began) < openKeysTimeout; {
 		select {
 		case <-ctx.Done():
 			return
@@ -87,7 +85,7 @@
 	}
 }
 
-func (h *Home) handOver(ctx context.Context, k Shares, peers Peers, i int, wait time.Duration) (shard.Self, bool) {
+func (h *Home) handOverShard(ctx context.Context, k ShardKeeper, peers Peers, i int, wait time.Duration) (shard.Self, bool) {
 	successor, ok := k.Successor(i)
 	if !ok {
 		return shard.Self{}, false
@@ -100,7 +98,7 @@
 		return n == i
 	}, call.Refuse(ErrAmbiguous, call.RanUnknown, time.Second))
 
-	part := Adopt{Shard: i, From: h.life, Filter: h.table.Filter(), Wait: wait}
+	part := Adopt{Shard: i, From: h.bootID, Filter: h.table.Filter(), Wait: wait}
 
 	for {
 		part.Rows, rows = split(rows)
@@ -119,17 +117,17 @@
 	}
 }
 
-// split cuts off as many records as fit a message.
+// split cuts off as many records as fit into one message.
 func split(rows []record.Row) (part, rest []record.Row) {
 	size := 0
 
 	for i, p := range rows {
-		size += rowBytes + len(p.ID)
+		size += rowOverheadBytes + len(p.ID)
 		if p.Answer != nil {
 			size += len(p.Answer.Body)
 		}
 
-		if size > partBytes && i > 0 {
+		if size > maxPartBytes && i > 0 {
 			return rows[:i], rows[i:]
 		}
 	}
@@ -137,10 +135,10 @@
 	return rows, nil
 }
 
-// ServeAdopt takes records from a home that leaves. They are of use only once the
-// platform says that this process owns the shard from that home; until then they
-// can do no more than answer a key that nobody forwards here.
-func (h *Home) ServeAdopt(k Shares) func(context.Context, Adopt) (Adopted, error) {
+// ServeAdopt stores the records sent by a draining owner. They have no effect until the list on the
+// platform names this process as the successor of that owner, because no node forwards their keys
+// here before that.
+func (h *Home) ServeAdopt(k ShardKeeper) func(context.Context, Adopt) (Adopted, error) {
 	return func(_ context.Context, in Adopt) (Adopted, error) {
 		if err := in.Filter.Check(); err != nil {
 			return Adopted{}, err
@@ -156,6 +154,6 @@
 			k.Adopt(in.Shard, in.From, in.Wait)
 		}
 
-		return Adopted{Node: h.node, Life: h.life}, nil
+		return Adopted{Node: h.node, Life: h.bootID}, nil
 	}
 }
--- a/internal/once/network_test.go
+++ b/internal/once/network_test.go
@@ -16,12 +16,12 @@
 	"github.com/pollencart/pollencart/internal/peer"
 )
 
-// Do implements peer messages over the network in memory.
+// Do implements once.Peers over the in-memory network.
 func (p *proc) Do(ctx context.Context, to string, _ peer.Lane, method string, in, out any) error {
 	<-p.running()
 
 	if p.ended() {
-		<-ctx.Done() // a process that has ended does nothing more
+		<-ctx.Done() // a terminated process does nothing more
 
 		return peer.ErrBroken
 	}
@@ -48,7 +48,7 @@
 
 	go p.w.carry(ctx, p, target, method, body, time.Until(remaining), answer)
 
-	// The connection may break while the message is under way.
+	// The connection may break while the message is in transit.
 	broken := make(<-chan time.Time)
 	if p.w.chance(15) {
 		broken = time.After(p.w.delay())
@@ -64,8 +64,8 @@
 	return peer.ErrBroken
 }
 
-// carry takes a message to the process that is there when it arrives, however
-// late that is, and its answer back.
+// carry delivers a message to the process that runs on the target node at the time of arrival, and
+// carries the reply back.
 func (w *world) carry(ctx context.Context, from *proc, to int, method string, body []byte, remaining time.Duration, answer chan<- []byte) {
 	time.Sleep(w.delay())
 
@@ -79,7 +79,7 @@
 	handling, cancel := context.WithTimeout(context.WithoutCancel(ctx), max(remaining, time.Millisecond))
 	defer cancel()
 
-	if !w.chance(50) { // else the cancellation is lost
+	if !w.chance(50) { // otherwise the cancellation is lost
 		stop := context.AfterFunc(ctx, cancel)
 		defer stop()
 	}
@@ -134,13 +134,13 @@
 	return peer.Typed(f)(ctx, body)
 }
 
-// Run implements gate.Runner: the backend server.
+// Run implements gate.Runner as a simulated backend server.
 func (p *proc) Run(ctx context.Context, c call.Call) (call.Answer, error) {
 	if p.w.chance(20) {
 		return call.Answer{}, call.Refuse(errors.New("connection refused"), call.RanNo, time.Second)
 	}
 
-	time.Sleep(p.w.delay() / 8) // on the wire; a cancellation does not call it back
+	time.Sleep(p.w.delay() / 8) // in transit; a cancellation has no effect
 
 	p.w.mu.Lock()
 	p.w.ran[tokenOf(c.Key)]++
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -1,22 +1,21 @@
-// Package once runs a call that must not run twice: uploads, permission changes,
-// enrolments.
+// Package once runs a call at most once per idempotency key, for calls that must not run twice:
+// uploads, permission changes, enrolments.
 //
-// It answers repeats. A caller that hears nothing sends its enrolment again,
-// through another node, in another failure domain, after a crash or while a
-// process is frozen. Each key has one home, the only process that may start it;
-// repeats are forwarded there and get the outcome of the first run. Nothing here
-// depends on who is believed alive or on what time it is: a home that is gone
-// takes its keys with it, and they end in unknown.
+// A caller that receives no answer retries its call, possibly through another node or in another
+// failure domain, after a crash or during a process stall. Each key has one owner, the only
+// process that may run it. Other nodes forward retries to the owner, which returns the outcome of
+// the first run. Ownership depends neither on the membership view nor on clocks. When an owner
+// process terminates, its records are lost and its keys end as unknown. The error texts and the
+// header Pollencart-Home call the owner the "home" of the key.
 //
 //	h := once.New("nottm-a-browse-1", key.NewLife(incarnation), once.WithShards(keeper))
 //	answer, err := h.Run(ctx, c, run) // run sends attempts through h.Guard(peers)
 //
-// The record of a key ends in one of three ways, and the home is the only one
-// that says so:
+// The record of a key ends in one of three outcomes, which only the owner decides:
 //
 //   - ran, with the answer;
-//   - not-run: no attempt reached a backend server and none ever will;
-//   - unknown: an attempt may have run; the mesh never sends it again.
+//   - not-run: no attempt reached a backend server and none will;
+//   - unknown: an attempt may have run; the mesh does not retry it.
 package once
 
 import (
@@ -51,55 +50,55 @@
 	ErrUnreachable = errs.New("once.home_unreachable", http.StatusServiceUnavailable, "the home of the key can't be reached")
 )
 
-// Home starts the keys of one process.
+// Home runs the keys that its process owns.
 type Home struct {
 	options  Options
 	node     string
-	life     string
+	bootID   string
 	table    *record.Table
 	sequence *attempt.Sequence
 	running  atomic.Int64
 	closed   atomic.Bool
-	// runs ends when runs are given up.
-	runs   context.Context //nolint:containedctx // as long as the home
-	giveUp context.CancelFunc
+	// runsCtx is the parent of all runs and is cancelled to end them.
+	runsCtx    context.Context //nolint:containedctx // lives as long as the Home
+	cancelRuns context.CancelFunc
 }
 
-// New returns the home of a node's life, which key.NewLife made.
-func New(node, life string, opts ...Option) *Home {
+// New returns the Home of a node process; key.NewLife creates its boot ID.
+func New(node, bootID string, opts ...Option) *Home {
 	o := newOptions(opts...)
 
-	h := &Home{options: o, node: node, life: life, table: o.Table, sequence: attempt.NewSequence(node + "." + life)}
-	h.runs, h.giveUp = context.WithCancel(context.Background())
+	h := &Home{options: o, node: node, bootID: bootID, table: o.Table, sequence: attempt.NewSequence(node + "." + bootID)}
+	h.runsCtx, h.cancelRuns = context.WithCancel(context.Background())
 
 	return h
 }
 
-// Name returns what callers put before their tokens.
+// Name returns the prefix that callers put before their own tokens to form a key.
 func (h *Home) Name() key.Home {
-	return key.Home{Node: h.node, Life: h.life, Generation: h.table.Generation()}
+	return key.Home{Node: h.node, Life: h.bootID, Generation: h.table.Generation()}
 }
 
-// Life names the process.
-func (h *Home) Life() string { return h.life }
+// Life returns the boot ID of the process.
+func (h *Home) Life() string { return h.bootID }
 
-// Mint returns a key of this home for a call that came without one.
+// Mint returns a new key of this process for a call that has none.
 func (h *Home) Mint() string { return h.Name().Key(ulid.Make().String()) }
 
-// Running returns how many keys have not ended.
+// Running returns the number of keys whose runs have not ended.
 func (h *Home) Running() int64 { return h.running.Load() }
 
-// Close starts no key from now on; repeats of those that were started get their outcome.
-// A key that is started while the process ends would be cut off with it.
+// Close rejects new keys, which would be cut off when the process exits. Retries of recorded keys
+// still get their outcome.
 func (h *Home) Close() { h.closed.Store(true) }
 
-// GiveUp ends the runs of all keys, so that who waits for them hears what is known.
-func (h *Home) GiveUp() { h.giveUp() }
+// GiveUp cancels the runs of all keys, so that waiting callers get the outcome known so far.
+func (h *Home) GiveUp() { h.cancelRuns() }
 
-// Size returns the number of records and the bytes of their answers.
+// Size returns the number of records and the total size of their answers in bytes.
 func (h *Home) Size() (records, bytes int) { return h.table.Size() }
 
-// Rotate drops the oldest records as time goes by, until ctx ends.
+// Rotate drops expired generations of records periodically until ctx ends.
 func (h *Home) Rotate(ctx context.Context) {
 	period := h.options.Retention / time.Duration(h.options.Generations-1)
 
@@ -113,8 +112,8 @@
 	}
 }
 
-// Run runs the call under its key, or waits for the run that an earlier one
-// began. run makes attempts until it has an answer or a refusal.
+// Run runs the call under its key, or waits for the run of an earlier call with the same key. The
+// run handler makes attempts until it has an answer or a refusal.
 func (h *Home) Run(ctx context.Context, c call.Call, run call.Handler) (call.Answer, error) {
 	k, err := h.key(c)
 	if err != nil {
@@ -149,39 +148,39 @@
 	}
 }
 
-// key says how a key is recorded here, or that this process is not its home. A
-// process that takes a key of the one before it for its own would run it again.
+// key returns the record key of a call, or an error if this process does not own the key. A
+// key that names an earlier boot of this node is rejected, since that process may have run it.
 func (h *Home) key(c call.Call) (record.Key, error) {
 	k, named := key.Parse(c.Key)
 	if !named {
-		return h.opaque(c)
+		return h.opaqueRecordKey(c)
 	}
 
-	if k.Home.Node != h.node || k.Home.Life != h.life {
+	if k.Home.Node != h.node || k.Home.Life != h.bootID {
 		return record.Key{}, ErrHomeGone.With("%s.%s", k.Home.Node, k.Home.Life)
 	}
 
 	return record.Key{ID: c.Key, Generation: k.Home.Generation}, nil
 }
 
-// opaque takes a key only if its entry meant this process. An entry that was
-// frozen with a call for the owner before would otherwise bring it here, after
-// the time in which unseen keys are not started.
-func (h *Home) opaque(c call.Call) (record.Key, error) {
+// opaqueRecordKey accepts an opaque key only if the entry node addressed this boot ID. Otherwise an
+// entry node that stalled while it forwarded a call to the previous owner could deliver the call
+// here after the time in which unseen keys are rejected.
+func (h *Home) opaqueRecordKey(c call.Call) (record.Key, error) {
 	own := h.options.Shards.Own(c.Key)
 	if own.Leaving {
 		return record.Key{}, ErrLeaving.With("%s", h.node)
 	}
 
-	if !own.Mine || c.Life != h.life {
+	if !own.Mine || c.Life != h.bootID {
 		return record.Key{}, ErrNotHome.With("%s", h.node)
 	}
 
 	return record.Key{ID: c.Key, Opaque: true, Wait: own.Wait}, nil
 }
 
-// run goes on when its caller hangs up: the caller will ask again, and an
-// upload that was cut off half way could only be answered with unknown.
+// run continues when its caller disconnects: the caller will retry, and an upload that is cancelled
+// half way could only end as unknown.
 func (h *Home) run(ctx context.Context, c call.Call, r *record.Record, run call.Handler) {
 	defer h.running.Add(-1)
 
@@ -189,7 +188,7 @@
 
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	defer context.AfterFunc(h.runs, cancel)()
+	defer context.AfterFunc(h.runsCtx, cancel)()
 
 	if ok {
 		ctx, cancel = context.WithDeadline(ctx, deadline)
@@ -202,8 +201,8 @@
 	h.settle(c, r, attempts, a, err)
 }
 
-// settle ends the record by what the attempts themselves say: a refusal made
-// anywhere in the pipe can't turn an ambiguous attempt into not-run.
+// settle decides the outcome from the results of the attempts, so that a refusal made elsewhere in
+// the pipeline cannot turn an ambiguous attempt into not-run.
 func (h *Home) settle(c call.Call, r *record.Record, attempts *attempt.Run, a call.Answer, err error) {
 	mayHaveRun := attempts.Finish()
 
@@ -219,7 +218,7 @@
 	}
 
 	switch {
-	case h.runs.Err() == nil || refusal.Ran == call.RanYes:
+	case h.runsCtx.Err() == nil || refusal.Ran == call.RanYes:
 	case mayHaveRun:
 		refusal = call.Refuse(ErrGivenUp.Wrap(err), call.RanUnknown, time.Second)
 	default:
@@ -260,8 +259,8 @@
 	return call.Refuse(err, ran, after).WithKey(c.Key)
 }
 
-// digestOf tells the requests of one key apart. Headers are left out: traces and
-// dates differ between repeats of the same upload.
+// digestOf distinguishes the requests of one key. Headers are left out, since traces and dates
+// differ between retries of the same upload.
 func digestOf(c call.Call) record.Digest {
 	s := sha256.New()
 	s.Write([]byte(c.Method))
--- a/internal/once/options.go
+++ b/internal/once/options.go
@@ -8,16 +8,15 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// DefaultCloseTimeout bounds how long a home waits for a gate's word that an
-// attempt was not started, before it says unknown: a hundred round trips between
-// failure domains.
+// DefaultCloseTimeout bounds how long an owner waits for a gate to confirm that an attempt was not
+// started before the outcome becomes unknown. It is about 100 round trips between failure domains.
 const DefaultCloseTimeout = 250 * time.Millisecond
 
-// DefaultRetention is how long a caller may repeat a key. The people behind the
-// calls press a button again within a minute or two.
+// DefaultRetention is how long a caller may retry a key. People retry a failed action within a
+// minute or two.
 const DefaultRetention = 5 * time.Minute
 
-// Shards says whether this process is the home of an opaque key.
+// Shards reports whether this process owns an opaque key.
 type Shards interface {
 	Own(text string) shard.Own
 }
@@ -26,7 +25,7 @@
 
 func (noShards) Own(string) shard.Own { return shard.Own{} }
 
-// Options of a home.
+// Options configures a Home.
 type Options struct {
 	Shards       Shards
 	Table        *record.Table
@@ -36,7 +35,7 @@
 	Generations  uint64
 }
 
-// Option sets an option.
+// Option changes one of the Options.
 type Option func(*Options)
 
 func newOptions(opts ...Option) Options {
@@ -56,17 +55,17 @@
 	return o
 }
 
-// WithTable sets where the records are.
-func WithTable(b *record.Table) Option { return func(o *Options) { o.Table = b } }
+// WithTable sets the table of records.
+func WithTable(t *record.Table) Option { return func(o *Options) { o.Table = t } }
 
-// WithShards sets who knows the home of opaque keys.
+// WithShards sets the source of shard ownership for opaque keys.
 func WithShards(s Shards) Option { return func(o *Options) { o.Shards = s } }
 
-// Recorder sets where events go.
+// Recorder sets the recorder of timeline events.
 func Recorder(r *timeline.Recorder) Option { return func(o *Options) { o.Recorder = r } }
 
 // CloseTimeout bounds the wait for a gate to close an attempt.
 func CloseTimeout(d time.Duration) Option { return func(o *Options) { o.CloseTimeout = d } }
 
-// Retention sets how long a key can be repeated.
+// Retention sets how long a key can be retried.
 func Retention(d time.Duration) Option { return func(o *Options) { o.Retention = d } }
--- a/internal/once/search_test.go
+++ b/internal/once/search_test.go
@@ -15,8 +15,8 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// TestMain fixes the seed, so that CI gives the same verdict each time; another
-// one is searched with -rapid.seed and more with -rapid.checks.
+// TestMain fixes the seed, so that CI runs are reproducible. Use -rapid.seed to try another seed
+// and -rapid.checks to run more scripts.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "40", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -33,11 +33,11 @@
 const (
 	sendNew kind = iota
 	sendOpaque
-	sendAgain
-	sendAgainToo
+	retryKey
+	retryKeyToo
 	replace
-	freeze
-	wake
+	stall
+	resume
 	cut
 	heal
 	rotate
@@ -48,7 +48,7 @@
 	kinds
 )
 
-// step is one thing that happens in the world.
+// step is one event of a script.
 type step struct {
 	Kind kind
 	A, B int
@@ -74,18 +74,18 @@
 	})
 }
 
-// few records let some scripts fill a table.
-const few = 32
+// fewRecords is small enough for some scripts to fill a table.
+const fewRecords = 32
 
-// play runs a script to its end, heals everything, repeats every key through
-// every node and returns the broken promises.
-func play(t *testing.T, s *settings.Snapshot, c script, m mutant) (found []string, w *world) {
+// runScript runs a script, ends all faults, retries every key through every node and returns the
+// violated invariants.
+func runScript(t *testing.T, s *settings.Snapshot, c script, m mutant) (found []string, w *world) {
 	t.Helper()
 
 	synctest.Test(t, func(*testing.T) {
-		w = newWorld(s, c.Seed, m, few)
+		w = newWorld(s, c.Seed, m, fewRecords)
 
-		time.Sleep(10 * time.Second) // shards find owners
+		time.Sleep(10 * time.Second) // the shards get owners
 
 		var keys []string
 
@@ -95,7 +95,7 @@
 		}
 
 		for i := range nodes {
-			w.wake(i)
+			w.resume(i)
 		}
 
 		w.heal()
@@ -117,7 +117,7 @@
 			w.proc(i).stop()
 		}
 
-		time.Sleep(time.Minute) // what is still under way ends
+		time.Sleep(time.Minute) // calls in flight end
 
 		found = w.check()
 	})
@@ -132,7 +132,7 @@
 		return keys
 	}
 
-	again := s.Kind == sendAgain || s.Kind == sendAgainToo
+	again := s.Kind == retryKey || s.Kind == retryKeyToo
 
 	switch {
 	case s.Kind == sendNew:
@@ -148,11 +148,11 @@
 	return keys
 }
 
-// faults are the steps that make a fault or end one.
+// faults are the steps that start or end a fault.
 var faults = map[kind]func(*world, step){
 	replace:      func(w *world, s step) { w.replace(s.A) },
-	freeze:       func(w *world, s step) { w.freeze(s.A) },
-	wake:         func(w *world, s step) { w.wake(s.A) },
+	stall:        func(w *world, s step) { w.stall(s.A) },
+	resume:       func(w *world, s step) { w.resume(s.A) },
 	cut:          func(w *world, s step) { w.setCut(s.A, s.B, true) },
 	heal:         func(w *world, _ step) { w.heal() },
 	rotate:       func(w *world, s step) { w.proc(s.A).table.Rotate() },
@@ -161,31 +161,31 @@
 	platformUp:   func(w *world, _ step) { w.store.setDown(false) },
 }
 
-// Any order of repeats, delays, crossed and lost messages, replaced, frozen and
-// woken processes, cuts and outages of the platform. Whatever happens, no key runs twice, and one that
-// was said to be not run never runs: a parent would hold two seats, or be told
-// that there is none while one is booked.
-func TestNoOrderOfFaultsRunsAKeyTwice(t *testing.T) {
+// Runs random sequences of retries, delays, reordered and lost messages, replaced and stalled
+// processes, network partitions and platform outages. No key may run twice, and a key reported as
+// not run must never run: a parent would hold two seats, or would be told that no seat is booked
+// while one is.
+func TestNoKeyRunsTwiceUnderRandomFaults(t *testing.T) {
 	s := uploadSettings(t)
 
 	rapid.Check(t, func(r *rapid.T) {
-		found, _ := play(t, s, scripts().Draw(r, "script"), mutant{})
+		found, _ := runScript(t, s, scripts().Draw(r, "script"), mutant{})
 		if len(found) > 0 {
 			r.Fatalf("%v", found)
 		}
 	})
 }
 
-// A search whose calls all end the same way would prove little: the outcomes of
-// a fixed set of scripts cover runs, not-run and unknown.
-func TestTheSearchSeesAllOutcomes(t *testing.T) {
+// Checks that a fixed set of scripts produces the outcomes ran, not-run and unknown; scripts that
+// always end the same way would exercise little.
+func TestScriptsProduceAllOutcomes(t *testing.T) {
 	s := uploadSettings(t)
 	seen := map[call.Ran]int{}
 
 	for seed := range 50 {
-		_, w := play(t, s, scripts().Example(seed), mutant{})
-		for _, told := range w.told {
-			for ran, n := range told {
+		_, w := runScript(t, s, scripts().Example(seed), mutant{})
+		for _, reported := range w.reported {
+			for ran, n := range reported {
 				seen[ran] += n
 			}
 		}
@@ -198,9 +198,9 @@
 	}
 }
 
-// Each guard is switched off in turn. If the search found nothing then, it would
-// prove nothing with the guards on.
-func TestTheSearchFindsEachMissingGuard(t *testing.T) {
+// Mutation test: with any one guard disabled, a script must violate an invariant. Otherwise a pass
+// with all guards would not show that the guards work.
+func TestScriptsDetectEachDisabledGuard(t *testing.T) {
 	s := uploadSettings(t)
 
 	const tries = 400
@@ -208,21 +208,21 @@
 	for name, m := range map[string]mutant{
 		"record before send":     {noRecord: true},
 		"close before not-run":   {noClose: true},
-		"life of the home":       {noLife: true},
+		"boot ID of the owner":   {noBootID: true},
 		"wait of a new owner":    {noWait: true},
-		"owners on the platform": {byBelief: true},
+		"owners on the platform": {ownerByMembership: true},
 		"tickets of the gate":    {noTicket: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range tries {
-				if found, _ := play(t, s, scripts().Example(seed), m); len(found) > 0 {
-					t.Logf("found by seed %d: %v", seed, found)
+				if found, _ := runScript(t, s, scripts().Example(seed), m); len(found) > 0 {
+					t.Logf("seed %d violates: %v", seed, found)
 
 					return
 				}
 			}
 
-			assert.Assert(t, false, "nothing found in %d scripts", tries)
+			assert.Assert(t, false, "no violation in %d scripts", tries)
 		})
 	}
 }
--- a/internal/once/store_test.go
+++ b/internal/once/store_test.go
@@ -8,7 +8,7 @@
 	"github.com/pollencart/pollencart/internal/platform"
 )
 
-// store is the platform: one value under compare-and-swap.
+// store simulates the key-value store of the platform with a single compare-and-swap value.
 type store struct {
 	mu    sync.Mutex
 	down  bool
@@ -22,7 +22,7 @@
 	s.down = down
 }
 
-// storeOf is the platform as one process reaches it.
+// storeOf is the store as seen by one process, with its delays and outages.
 type storeOf struct{ *proc }
 
 func (s storeOf) reach() error {
--- a/internal/once/world_test.go
+++ b/internal/once/world_test.go
@@ -26,46 +26,47 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// world is a few nodes with their real entries, homes and gates on a network in
-// memory that delays, crosses, drops, holds and cuts, and fake backend servers
-// that count what they ran. It runs inside a synctest bubble.
+// world simulates a cluster with real entry nodes, owners and gates on an in-memory network that
+// delays, reorders, drops and partitions messages. Simulated backend servers count how often they
+// ran each key. It runs inside a synctest bubble.
 type world struct {
 	snapshot *settings.Snapshot
 	mutant   mutant
-	records  int // that a home holds
-
-	mu     sync.Mutex
-	random *rand.Rand
-	procs  []*proc
-	cuts   map[[2]int]bool
-	calm   bool
-	ran    map[string]int
-	told   map[string]map[call.Ran]int
-	store  *store
-	faults []string
+	records  int // maximum number of records per process
+
+	mu         sync.Mutex
+	random     *rand.Rand
+	procs      []*proc
+	cuts       map[[2]int]bool
+	calm       bool
+	ran        map[string]int
+	reported   map[string]map[call.Ran]int
+	store      *store
+	violations []string
 }
 
-// mutant switches one guard off; the search must then find a fault.
+// mutant disables one guard; the scripts must then find a violation.
 type mutant struct {
-	// noRecord forgets each key at once.
+	// noRecord makes every request look like a new key.
 	noRecord bool
-	// noClose takes an attempt for closed without asking its gate.
+	// noClose treats an attempt as closed without asking its gate.
 	noClose bool
-	// noLife lets a process take the keys of the one before it for its own.
-	noLife bool
+	// noBootID lets a process accept the keys of an earlier boot of its node.
+	noBootID bool
 	// noTicket lets a gate start any attempt.
 	noTicket bool
-	// noWait lets a new owner of a shard start keys that it has not seen.
+	// noWait lets a new shard owner start keys that it has no record of.
 	noWait bool
-	// byBelief finds the home of an opaque key among the nodes believed alive.
-	byBelief bool
+	// ownerByMembership selects the owner of an opaque key from the membership view instead of the
+	// shard list.
+	ownerByMembership bool
 }
 
-// proc is one life of a node's process.
+// proc is one boot of a node process.
 type proc struct {
 	w        *world
 	index    int
-	life     int
+	boot     int
 	table    *record.Table
 	home     *once.Home
 	register *attempt.Register
@@ -75,10 +76,10 @@
 	keeper   *shard.Keeper
 	stop     context.CancelFunc
 
-	froze  atomic.Int64  // how often
-	thawed chan struct{} // closed while the process runs
-	ending atomic.Bool
-	dead   chan struct{} // closed when it has ended
+	stalls      atomic.Int64  // number of stalls so far
+	resumed     chan struct{} // closed while the process is not stalled
+	terminating atomic.Bool
+	terminated  chan struct{} // closed when the process has terminated
 }
 
 const nodes = 4
@@ -86,7 +87,7 @@
 func newWorld(s *settings.Snapshot, seed uint64, m mutant, records int) *world {
 	w := &world{
 		snapshot: s, mutant: m, random: rand.New(rand.NewPCG(seed, seed)), cuts: map[[2]int]bool{},
-		ran: map[string]int{}, told: map[string]map[call.Ran]int{}, store: &store{}, records: records, procs: make([]*proc, nodes),
+		ran: map[string]int{}, reported: map[string]map[call.Ran]int{}, store: &store{}, records: records, procs: make([]*proc, nodes),
 	}
 	for i := range w.procs {
 		w.procs[i] = w.newProc(i, 1)
@@ -102,33 +103,33 @@
 func nodeID(i int) string  { return fmt.Sprintf("node-%d", i) }
 func address(i int) string { return fmt.Sprintf("127.0.0.%d:1", i+1) }
 
-func (w *world) newProc(i, life int) *proc {
-	p := &proc{w: w, index: i, life: life, thawed: make(chan struct{}), dead: make(chan struct{})}
-	close(p.thawed)
+func (w *world) newProc(i, boot int) *proc {
+	p := &proc{w: w, index: i, boot: boot, resumed: make(chan struct{}), terminated: make(chan struct{})}
+	close(p.resumed)
 
 	p.table = record.New(record.Generations(3), record.Records(w.records))
-	name := key.NewLife(7) // one incarnation, as after a clock was set back
+	name := key.NewLife(7) // the same incarnation for every boot, as after a clock was set back
 	p.keeper = shard.New(shard.Self{Node: nodeID(i), Life: name, FailureDomain: domain(i)}, storeOf{p}, w, p,
 		shard.Domains(func() []string { return []string{domain(0), domain(1)} }), shard.Repeat(time.Hour))
-	p.home = once.New(nodeID(i), name, once.WithTable(p.table), once.WithShards(beliefs{p}))
+	p.home = once.New(nodeID(i), name, once.WithTable(p.table), once.WithShards(shardView{p}))
 	p.register = attempt.NewRegister(name, 64)
 
 	queue := admission.New(admission.Slots(2))
 
 	var starts gate.Starts = p.register
 	if w.mutant.noTicket {
-		starts = startAll{}
+		starts = startAlways{}
 	}
 
 	p.gate = gate.New(nodeID(i), p, queue).WithStarts(starts)
 	p.entry = frontend.New(frontend.Node(nodeID(i)), frontend.Settings(p), frontend.Members(w), frontend.Nodes(w),
-		frontend.WithPeers(p), frontend.Home(p.home), frontend.Shards(beliefs{p}))
+		frontend.WithPeers(p), frontend.Home(p.home), frontend.Shards(shardView{p}))
 	p.handler = p.entry.Handler()
 
 	return p
 }
 
-// start starts the background work of a process that is in its place.
+// start starts the background work of a process after it is registered in the world.
 func (p *proc) start() {
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
@@ -138,17 +139,17 @@
 
 func domain(i int) string { return fmt.Sprintf("domain-%d", i%2) }
 
-// beliefs is the keeper, or a mutant of it.
-type beliefs struct{ *proc }
+// shardView forwards to the keeper, or applies a mutation.
+type shardView struct{ *proc }
 
-func (b beliefs) Nudge() { b.keeper.Nudge() }
+func (b shardView) Nudge() { b.keeper.Nudge() }
 
-func (b beliefs) Renew(ctx context.Context, text string) bool { return b.keeper.Renew(ctx, text) }
+func (b shardView) Renew(ctx context.Context, text string) bool { return b.keeper.Renew(ctx, text) }
 
-func (b beliefs) Refresh(ctx context.Context, address string) { b.keeper.Refresh(ctx, address) }
+func (b shardView) Refresh(ctx context.Context, address string) { b.keeper.Refresh(ctx, address) }
 
-func (b beliefs) Owner(text string) (node, life string, ok bool) {
-	if !b.w.mutant.byBelief {
+func (b shardView) Owner(text string) (node, bootID string, ok bool) {
+	if !b.w.mutant.ownerByMembership {
 		return b.keeper.Owner(text)
 	}
 
@@ -163,8 +164,8 @@
 	return "", "", false
 }
 
-func (b beliefs) Own(text string) shard.Own {
-	if b.w.mutant.byBelief {
+func (b shardView) Own(text string) shard.Own {
+	if b.w.mutant.ownerByMembership {
 		return shard.Own{Mine: true}
 	}
 
@@ -179,16 +180,16 @@
 // Live implements shard.Nodes.
 func (w *world) Live() []membership.Record { return w.Serving("") }
 
-// startAll is a gate that remembers nothing.
-type startAll struct{}
+// startAlways is a register that stores no attempts and starts each one.
+type startAlways struct{}
 
-func (startAll) Start(call.Ticket) error { return nil }
-func (startAll) Close(call.Ticket) bool  { return true }
+func (startAlways) Start(call.Ticket) error { return nil }
+func (startAlways) Close(call.Ticket) bool  { return true }
 
 // Load implements frontend.Snapshots.
 func (p *proc) Load() *settings.Snapshot { return p.w.snapshot }
 
-// Serving implements frontend.Serving: beliefs are wrong all the time.
+// Serving implements frontend.Serving. The membership view that it returns is often wrong.
 func (w *world) Serving(string) []membership.Record {
 	var out []membership.Record
 
@@ -223,7 +224,8 @@
 	return r
 }
 
-// chance is true in so many of a hundred cases, and never when the world is calm.
+// chance returns true with the given probability in percent, and always false when the world is
+// calm.
 func (w *world) chance(percent int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -231,7 +233,7 @@
 	return !w.calm && w.random.IntN(100) < percent
 }
 
-// setCalm ends all random faults.
+// setCalm disables all random faults.
 func (w *world) setCalm() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -239,8 +241,9 @@
 	w.calm = true
 }
 
-// delay is how long a message or a run takes. It is never 0: timers that are due at once, read by several goroutines of one bubble,
-// share what the race detector keeps of the bubble's timers and end the process.
+// delay returns the duration of a message or a run. It is never 0: timers that are due immediately
+// and read by several goroutines of a synctest bubble share race detector state, which crashes the
+// process.
 func (w *world) delay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -286,18 +289,18 @@
 	clear(w.cuts)
 }
 
-// replace ends a process at once and starts the next one in its place.
+// replace terminates a process abruptly and boots the next one on the same node.
 func (w *world) replace(i int) {
 	old := w.proc(i)
-	if !old.ending.CompareAndSwap(false, true) {
+	if !old.terminating.CompareAndSwap(false, true) {
 		return
 	}
 
-	w.wake(i)
-	close(old.dead)
+	w.resume(i)
+	close(old.terminated)
 	old.stop()
 
-	next := w.newProc(i, old.life+1)
+	next := w.newProc(i, old.boot+1)
 
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -306,7 +309,7 @@
 	next.start()
 }
 
-// leave hands a process's keys over and then replaces it.
+// leave hands the keys of a process over and then replaces the process.
 func (w *world) leave(i int) {
 	p := w.proc(i)
 
@@ -320,28 +323,28 @@
 	}
 }
 
-func (w *world) freeze(i int) {
+func (w *world) stall(i int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
 	p := w.procs[i]
 	select {
-	case <-p.thawed:
-		p.thawed = make(chan struct{})
-		p.froze.Add(1)
+	case <-p.resumed:
+		p.resumed = make(chan struct{})
+		p.stalls.Add(1)
 	default:
 	}
 }
 
-func (w *world) wake(i int) {
+func (w *world) resume(i int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
 	p := w.procs[i]
 	select {
-	case <-p.thawed:
+	case <-p.resumed:
 	default:
-		close(p.thawed)
+		close(p.resumed)
 	}
 }
 
@@ -349,19 +352,19 @@
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
 
-	return p.thawed
+	return p.resumed
 }
 
 func (p *proc) ended() bool {
 	select {
-	case <-p.dead:
+	case <-p.terminated:
 		return true
 	default:
 		return false
 	}
 }
 
-// uploadSettings is a tree with one route that must not run twice.
+// uploadSettings returns a settings tree that has a route whose calls must not run twice.
 func uploadSettings(t *testing.T) *settings.Snapshot {
 	t.Helper()
 
