--- a/internal/once/record/handover.go
+++ b/internal/once/record/handover.go
@@ -5,7 +5,7 @@
 	"github.com/pollencart/pollencart/internal/once/bloom"
 )
 
-// Row is one record as it is handed to the next home of an opaque key.
+// Row is a record as it is handed over to the next owner of an opaque key.
 type Row struct {
 	ID      string        `msgpack:"ID"`
 	Digest  Digest        `msgpack:"Digest"`
@@ -14,7 +14,7 @@
 	Dropped bool          `msgpack:"Dropped"`
 }
 
-// OpenOpaque returns how many opaque keys have not ended.
+// OpenOpaque returns the number of opaque keys whose runs have not ended.
 func (t *Table) OpenOpaque() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -30,8 +30,8 @@
 	return n
 }
 
-// Rows returns the opaque records that are wanted. One that has not ended gets
-// the outcome that is given: its run goes on here, where nobody asks any more.
+// Rows returns the opaque records that match wanted. A record that is not settled gets the refusal
+// open as its outcome: its run continues here, where no node forwards the key any more.
 func (t *Table) Rows(wanted func(id string) bool, open *call.Refusal) []Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,8 +54,8 @@
 	return out
 }
 
-// Adopt puts in the records of another home; it reports false if they do not
-// fit.
+// Adopt adds the records of another owner. It reports false, and adds none, if they exceed the
+// limit of the table.
 func (t *Table) Adopt(rows []Row) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,15 +70,15 @@
 		}
 
 		r := &Record{id: p.ID, opaque: true, digest: p.Digest, settled: true}
-		r.outcome = t.fit(Outcome{Answer: p.Answer, Refusal: p.Refusal, Dropped: p.Dropped})
+		r.outcome = t.limitBody(Outcome{Answer: p.Answer, Refusal: p.Refusal, Dropped: p.Dropped})
 		t.records[p.ID] = r
-		t.lists[t.generation] = append(t.lists[t.generation], r)
+		t.byGeneration[t.generation] = append(t.byGeneration[t.generation], r)
 	}
 
 	return true
 }
 
-// Filter returns a copy of the dropped opaque keys.
+// Filter returns a copy of the Bloom filter of dropped opaque keys.
 func (t *Table) Filter() bloom.Filter {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,7 +86,7 @@
 	return t.dropped.Clone()
 }
 
-// AdoptFilter adds the dropped opaque keys of another home.
+// AdoptFilter adds the dropped opaque keys of another owner.
 func (t *Table) AdoptFilter(f bloom.Filter) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/once/record/table.go
+++ b/internal/once/record/table.go
@@ -1,19 +1,19 @@
-// Package record holds the records of the keys that one process is the home of.
+// Package record stores the records of the idempotency keys that one process owns.
 //
-// It answers repeats: a caller that got no answer sends its upload again, and a
-// donation is booked twice unless somebody knows that the first one was started.
-// A key is recorded before anything of its call leaves the process. The record
-// ends in ran, not-run or unknown and never changes after that.
+// The records let the owner answer retries: a caller that received no answer sends its upload
+// again, and without a record of the first run a donation would be booked twice. A key is recorded
+// before anything of its call leaves the process. Its record ends as ran, not-run or unknown and
+// does not change after that.
 //
-// Memory is bounded twice: by a number of records, at which new keys are
-// refused, and by generations, which are dropped whole. A record is never
-// dropped before its generation, and a key of a dropped generation is refused as
-// unknown, so that forgetting can't run a key again. An opaque key names no
-// generation; a filter remembers the dropped ones.
+// Memory is bounded in two ways. New keys are rejected once the table has its maximum number of
+// records, and records are dropped by whole generations, never one by one. A key of a dropped
+// generation is rejected as unknown, so a dropped record cannot cause a second run. An opaque key
+// names no generation; a Bloom filter keeps the dropped opaque keys.
 //
 //	r, fresh, err := t.Open(record.Key{ID: text, Generation: 7}, digest)
 //	if fresh { ...run the call...; t.Settle(r, record.Outcome{Answer: &answer}) }
-//	outcome := <-t.Wait(r)
+//	wait, err := t.Wait(r)
+//	outcome := <-wait
 package record
 
 import (
@@ -26,74 +26,73 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Errors of a key that gets no record.
+// Errors of a key that cannot be recorded or waited for.
 var (
 	ErrFull    = errs.New("once.full", http.StatusServiceUnavailable, "the home of the key holds as many records as it may")
 	ErrDropped = errs.New("once.dropped", http.StatusConflict, "the key is older than the records that are held")
 	ErrFuture  = errs.New("once.future", http.StatusBadRequest, "the key names a generation that has not begun")
 	// ErrTakenOver means that an earlier owner of the shard may have run the key.
 	ErrTakenOver = errs.New("once.taken_over", http.StatusConflict, "the home of the key was replaced and may have run it before")
-	// ErrWaiting keeps a caller that hammers one key from taking the memory.
+	// ErrWaiting bounds the memory that a caller can take by retrying one key in rapid succession.
 	ErrWaiting  = errs.New("once.waiting", http.StatusTooManyRequests, "too many repeats wait for the same key")
 	ErrMismatch = errs.New("once.mismatch", http.StatusUnprocessableEntity, "the key was used for another request")
 )
 
-// Digest tells requests apart.
+// Digest distinguishes the requests of one key.
 type Digest [16]byte
 
-// Outcome is how a record ends: an answer, or a refusal that says whether the
-// call ran.
+// Outcome is the result of a run: an answer, or a refusal that says whether the call ran.
 type Outcome struct {
 	Answer  *call.Answer
 	Refusal *call.Refusal
-	// Dropped says that the body of the answer was too large to keep.
+	// Dropped reports that the body of the answer was too large to keep.
 	Dropped bool
 }
 
-// Key is what a record is found by.
+// Key identifies a record.
 type Key struct {
 	ID string
-	// Generation is the one that a key names.
+	// Generation is the generation that the key names.
 	Generation uint64
-	// Opaque says that the key names none.
+	// Opaque is set for a key that names neither an owner nor a generation.
 	Opaque bool
-	// Wait is set for an opaque key whose shard another process owned before: it
-	// is not started for so long.
+	// Wait is the remaining time in which an opaque key without a record is rejected, because an
+	// earlier owner of its shard may have run it.
 	Wait time.Duration
 }
 
-// Record is what is known of one key.
+// Record is the state of one key.
 type Record struct {
 	id      string
 	opaque  bool
 	digest  Digest
 	settled bool
 	outcome Outcome
-	waiting []chan Outcome
+	waiters []chan Outcome
 }
 
-// Table holds records.
+// Table stores records by key.
 type Table struct {
 	options Options
 
-	mu         sync.Mutex
-	records    map[string]*Record
-	lists      map[uint64][]*Record // by generation, to drop them whole
-	generation uint64
-	lowest     uint64
-	answers    int // bytes
-	dropped    bloom.Filter
+	mu           sync.Mutex
+	records      map[string]*Record
+	byGeneration map[uint64][]*Record // dropped as a whole
+	generation   uint64
+	oldest       uint64
+	answerBytes  int // total size of the stored bodies
+	dropped      bloom.Filter
 }
 
 // New returns an empty table in its first generation.
 func New(opts ...Option) *Table {
 	return &Table{
-		options: newOptions(opts...), records: map[string]*Record{}, lists: map[uint64][]*Record{},
-		generation: 1, lowest: 1,
+		options: newOptions(opts...), records: map[string]*Record{}, byGeneration: map[uint64][]*Record{},
+		generation: 1, oldest: 1,
 	}
 }
 
-// Generation returns the newest generation, which new keys name.
+// Generation returns the current generation, which new keys name.
 func (t *Table) Generation() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,15 +100,15 @@
 	return t.generation
 }
 
-// Size returns the number of records and the bytes of their answers.
+// Size returns the number of records and the total size of their answers in bytes.
 func (t *Table) Size() (records, bytes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	return len(t.records), t.answers
+	return len(t.records), t.answerBytes
 }
 
-// Has reports whether the key was opened before.
+// Has reports whether the key has a record.
 func (t *Table) Has(k Key) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,8 +116,8 @@
 	return t.records[k.ID] != nil
 }
 
-// Open returns the record of a key and whether it was made now. Only who made it
-// may run the call.
+// Open returns the record of a key and whether this call created it. Only the caller that created
+// the record may run the call.
 func (t *Table) Open(k Key, d Digest) (r *Record, fresh bool, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,9 +132,9 @@
 
 	if k.Opaque {
 		k.Generation = t.generation
-		err = t.mayOpenOpaque(k)
+		err = t.checkOpaque(k)
 	} else {
-		err = t.mayOpen(k)
+		err = t.checkGeneration(k)
 	}
 
 	if err != nil {
@@ -148,14 +147,14 @@
 
 	r = &Record{id: k.ID, opaque: k.Opaque, digest: d}
 	t.records[k.ID] = r
-	t.lists[k.Generation] = append(t.lists[k.Generation], r)
+	t.byGeneration[k.Generation] = append(t.byGeneration[k.Generation], r)
 
 	return r, true, nil
 }
 
-func (t *Table) mayOpen(k Key) error {
-	if k.Generation < t.lowest {
-		return ErrDropped.With("generation %d, held from %d", k.Generation, t.lowest)
+func (t *Table) checkGeneration(k Key) error {
+	if k.Generation < t.oldest {
+		return ErrDropped.With("generation %d, held from %d", k.Generation, t.oldest)
 	}
 
 	if k.Generation > t.generation {
@@ -165,9 +164,9 @@
 	return nil
 }
 
-// mayOpenOpaque refuses what may have been dropped here or run by an earlier
-// owner of the shard.
-func (t *Table) mayOpenOpaque(k Key) error {
+// checkOpaque rejects a key whose record may have been dropped here, or that an earlier owner of
+// the shard may have run.
+func (t *Table) checkOpaque(k Key) error {
 	if t.dropped.Has(k.ID) {
 		return ErrDropped
 	}
@@ -183,10 +182,10 @@
 	return nil
 }
 
-// MaxWaiting bounds the repeats that wait for one key.
-const MaxWaiting = 64
+// MaxWaiters bounds the calls that wait for the outcome of one key.
+const MaxWaiters = 64
 
-// Wait returns a channel that gets the outcome.
+// Wait returns a channel that receives the outcome.
 func (t *Table) Wait(r *Record) (<-chan Outcome, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -199,71 +198,70 @@
 		return out, nil
 	}
 
-	if len(r.waiting) >= MaxWaiting {
+	if len(r.waiters) >= MaxWaiters {
 		return nil, ErrWaiting
 	}
 
-	r.waiting = append(r.waiting, out)
+	r.waiters = append(r.waiters, out)
 
 	return out, nil
 }
 
-// Settle ends a record. Who waits gets the whole outcome; what is kept for later
-// repeats may be without the body.
+// Settle ends a record. Waiting calls receive the whole outcome; the outcome stored for later
+// retries may lack the body.
 func (t *Table) Settle(r *Record, o Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	for _, w := range r.waiting {
+	for _, w := range r.waiters {
 		w <- o
 	}
 
-	r.waiting = nil
+	r.waiters = nil
 	r.settled = true
-	r.outcome = t.fit(o)
+	r.outcome = t.limitBody(o)
 }
 
-// fit drops a body that is over the bounds, so that a few large answers can't
-// take the memory of the node.
-func (t *Table) fit(o Outcome) Outcome {
+// limitBody removes a body that exceeds the limits, so that a few large answers cannot exhaust the
+// node's memory.
+func (t *Table) limitBody(o Outcome) Outcome {
 	if o.Answer == nil {
 		return o
 	}
 
 	size := len(o.Answer.Body)
-	if size > t.options.Answer || t.answers+size > t.options.Answers {
+	if size > t.options.Answer || t.answerBytes+size > t.options.Answers {
 		short := *o.Answer
 		short.Body = nil
 
 		return Outcome{Answer: &short, Dropped: true}
 	}
 
-	t.answers += size
+	t.answerBytes += size
 
 	return o
 }
 
-// Rotate begins a generation and drops the ones that are over the number held.
-// What has not ended yet is moved to the new one: dropping it would let its key
-// end in nothing.
+// Rotate starts a generation and drops those over the limit. Records that are not settled move to
+// the new generation, since dropping them would leave their keys without an outcome.
 func (t *Table) Rotate() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
 	t.generation++
-	for t.generation-t.lowest >= t.options.Generations {
-		for _, r := range t.lists[t.lowest] {
+	for t.generation-t.oldest >= t.options.Generations {
+		for _, r := range t.byGeneration[t.oldest] {
 			t.drop(r)
 		}
 
-		delete(t.lists, t.lowest)
-		t.lowest++
+		delete(t.byGeneration, t.oldest)
+		t.oldest++
 	}
 }
 
 func (t *Table) drop(r *Record) {
 	if !r.settled {
-		t.lists[t.generation] = append(t.lists[t.generation], r)
+		t.byGeneration[t.generation] = append(t.byGeneration[t.generation], r)
 
 		return
 	}
@@ -275,6 +273,6 @@
 	}
 
 	if r.outcome.Answer != nil {
-		t.answers -= len(r.outcome.Answer.Body)
+		t.answerBytes -= len(r.outcome.Answer.Body)
 	}
 }
--- a/internal/once/record/table_test.go
+++ b/internal/once/record/table_test.go
@@ -30,9 +30,9 @@
 	return r
 }
 
-// A burst of new keys fills the table. Forgetting an old record to make room would
-// run its key again; new keys are refused instead.
-func TestAFullBookRefusesNewKeysAndForgetsNone(t *testing.T) {
+// A burst of new keys fills the table. Dropping an old record to make room would allow a second run
+// of its key, so new keys are rejected instead.
+func TestFullTableRejectsNewKeysAndKeepsRecords(t *testing.T) {
 	b := record.New(record.Records(2))
 	first := open(t, b, named("a", 1))
 	b.Settle(first, answer(1))
@@ -46,8 +46,9 @@
 	assert.Assert(t, !fresh && r == first)
 }
 
-// A key comes back after its record was dropped. It must not look new.
-func TestADroppedKeyIsNeverNewAgain(t *testing.T) {
+// A key that is retried after its record was dropped must not be treated as new, since its call
+// would run a second time.
+func TestDroppedKeyIsNotTreatedAsNew(t *testing.T) {
 	b := record.New(record.Generations(2))
 	b.Settle(open(t, b, named("a", 1)), answer(1))
 	b.Settle(open(t, b, record.Key{ID: "donation-1", Opaque: true}), answer(1))
@@ -66,7 +67,7 @@
 	_, _, err = b.Open(named("b", b.Generation()+1), record.Digest{})
 	assert.ErrorIs(t, err, record.ErrFuture)
 
-	// What has not ended is kept however old it is.
+	// A record that is not settled is kept regardless of its age.
 	r, fresh, err := b.Open(named("slow", 1), record.Digest{})
 	assert.NilError(t, err)
 	assert.Assert(t, !fresh && r == running)
@@ -76,8 +77,8 @@
 	assert.Equal(t, bytes, 0)
 }
 
-// A few large answers must not take the memory of the node. Who waits for the run
-// gets the whole answer; a later repeat learns that the key ran.
+// A few large answers must not exhaust the node's memory. A call that waits for the run receives
+// the whole answer; a later retry learns only that the key ran.
 func TestLargeAnswersAreNotKept(t *testing.T) {
 	b := record.New(record.Answer(10), record.Answers(15))
 	r := open(t, b, named("a", 1))
@@ -101,12 +102,12 @@
 	assert.Equal(t, bytes, 8)
 }
 
-// One caller hammers a key whose run is slow.
-func TestWaitingRepeatsAreBounded(t *testing.T) {
+// A caller that keeps retrying a key whose run is slow must not take unbounded memory.
+func TestWaitersPerKeyAreBounded(t *testing.T) {
 	b := record.New()
 	r := open(t, b, named("a", 1))
 
-	for range record.MaxWaiting {
+	for range record.MaxWaiters {
 		_, err := b.Wait(r)
 		assert.NilError(t, err)
 	}
@@ -117,8 +118,8 @@
 
 const longKey = "pc1.nottm-a-browse-1.mjf2k0x1-9f8e7d6c5b4a3021.7.01JE2Z9T4S0W5Q8R6M%08d"
 
-// The memory of a full table is a promise to operators: at most 1 KB for each key
-// whose answer is a small receipt.
+// Operators size nodes by the memory of a full table: at most 1 KB per key whose answer is a small
+// receipt.
 func TestMemoryPerKeyIsBounded(t *testing.T) {
 	const keys = 10_000
 
@@ -130,7 +131,7 @@
 	}
 
 	each := (heap() - before) / keys
-	t.Logf("%d bytes for each key with an answer of 100 bytes", each)
+	t.Logf("%d bytes per key with an answer of 100 bytes", each)
 	assert.Assert(t, each < 1000, "%d", each)
 	runtime.KeepAlive(b)
 }
@@ -144,8 +145,8 @@
 	return m.HeapAlloc
 }
 
-// A record costs no more than these allocations per call: the record, its
-// waiting channel and list, and shares of the maps.
+// Bounds the allocations per record: the record, the channel and list of its waiters, and shares of
+// the maps.
 func TestAllocationsPerRecordAreBounded(t *testing.T) {
 	b := record.New(record.Records(1 << 20))
 	o := answer(100)
