--- a/internal/once/attempt/attempt_test.go
+++ b/internal/once/attempt/attempt_test.go
@@ -9,9 +9,9 @@
 	"github.com/pollencart/pollencart/internal/once/attempt"
 )
 
-// The attempt of an enrolment is delivered late: its home has closed it, or has
-// gone on so far that it no longer remembers it.
-func TestALateAttemptIsNotStarted(t *testing.T) {
+// An attempt that arrives late must not start: its owner has closed it, or has finished it and the
+// gate has dropped its state.
+func TestAttemptIsNotStartedAfterCloseOrEnd(t *testing.T) {
 	r := attempt.NewRegister("gate", 100)
 	s := attempt.NewSequence("home")
 
@@ -21,7 +21,7 @@
 
 	assert.NilError(t, r.Start(second))
 	assert.ErrorIs(t, r.Start(second), attempt.ErrRepeated)
-	assert.Assert(t, !r.Close(second), "it was started")
+	assert.Assert(t, !r.Close(second), "an attempt that was started cannot be closed")
 
 	s.End(first)
 	s.End(second)
@@ -29,12 +29,12 @@
 	third := s.Next(r.Epoch())
 	assert.NilError(t, r.Start(third))
 	assert.ErrorIs(t, r.Start(first), attempt.ErrLate)
-	assert.Assert(t, !r.Close(second), "the gate can't know any more")
+	assert.Assert(t, !r.Close(second), "the gate has dropped the state of the attempt")
 }
 
-// A gate that was replaced has no memory. What was meant for the one before is
-// refused, and nothing is said of it.
-func TestAnotherLifeOfTheGateStartsNothingOld(t *testing.T) {
+// A restarted gate has no state of earlier attempts. It must reject tickets of its previous boot
+// and must not report them as closed, since they may have run.
+func TestRestartedGateRejectsOldTickets(t *testing.T) {
 	s := attempt.NewSequence("home")
 	ticket := s.Next(attempt.NewRegister("gate-1", 100).Epoch())
 	next := attempt.NewRegister("gate-2", 100)
@@ -43,10 +43,10 @@
 	assert.Assert(t, !next.Close(ticket))
 }
 
-// The memory of a gate is what homes have under way. A home that goes on and on
-// leaves nothing behind; thousands of homes that went idle make a new epoch,
-// which refuses what is under way as not run.
-func TestTheRegisterIsBounded(t *testing.T) {
+// The memory of a gate is bounded by the attempts in flight. A busy owner leaves no state behind.
+// Thousands of idle owners fill the register, which then starts a new epoch and rejects outstanding
+// tickets as not run.
+func TestRegisterSizeIsBounded(t *testing.T) {
 	r := attempt.NewRegister("gate", 100)
 	s := attempt.NewSequence("home")
 	epoch := r.Epoch()
@@ -70,13 +70,13 @@
 	assert.ErrorIs(t, r.Start(late), attempt.ErrEpoch)
 }
 
-// After an attempt of which nobody knows whether it ran, or while one is out,
-// there is no other, whatever the pipe of filters would like.
+// While an attempt is in flight, or after one whose outcome is unknown, no other may start,
+// whatever the retry filters request.
 func TestNoAttemptAfterAnAmbiguousOne(t *testing.T) {
 	var r attempt.Run
 
 	assert.Assert(t, r.Begin())
-	assert.Assert(t, !r.Begin(), "one is out")
+	assert.Assert(t, !r.Begin(), "an attempt is in flight")
 	r.End(call.RanNo)
 	assert.Assert(t, r.Begin())
 	r.End(call.RanUnknown)
@@ -86,7 +86,7 @@
 	var none attempt.Run
 
 	assert.Assert(t, !none.Finish())
-	assert.Assert(t, !none.Begin(), "it has ended")
+	assert.Assert(t, !none.Begin(), "the run has finished")
 }
 
 func BenchmarkTicket(b *testing.B) {
--- a/internal/once/attempt/register.go
+++ b/internal/once/attempt/register.go
@@ -1,19 +1,19 @@
-// Package attempt makes sure that a gate starts an attempt of a keyed call at
-// most once, and never after its home gave it up.
+// Package attempt ensures that a gate starts each attempt of a keyed call at most once, and never
+// after the owner of the key has abandoned the attempt.
 //
-// What goes wrong without it: the home sends an attempt, its connection breaks,
-// it says not-run; the attempt sat in the buffer of a frozen gate, which wakes
-// up and runs it. The caller had been told that its enrolment was not run.
+// Without it, an attempt could run after its caller was told that it did not: the owner sends the
+// attempt, its connection breaks and it reports not-run, but the message is still buffered in a
+// stalled gate process, which runs it after the stall.
 //
-// A home numbers its attempts (Sequence) and sends with each the lowest number
-// that it still cares for. A gate holds the numbers from there on (Register), so
-// its memory is bounded by what homes have under way, without any clock. Each
-// ticket names the gate's epoch; a gate that starts afresh, or that drops its
-// register at the bound, has a new epoch and refuses tickets of the old one.
+// An owner numbers its attempts (Sequence). Each attempt ticket carries the lowest number that the
+// owner still needs, and a gate stores only the states of numbers from there on (Register). The
+// memory of the gate is thus bounded by the attempts in flight, without a clock. Each ticket also
+// names the epoch of the gate. A gate that restarts, or that resets its full register, has a new
+// epoch and rejects tickets of the old one.
 //
-//	t := sequence.Next(epoch)       // home
-//	err := register.Start(t)        // gate, just before the backend server
-//	closed := register.Close(t)     // gate, when the home gives up
+//	t := sequence.Next(epoch)       // owner
+//	err := register.Start(t)        // gate, just before the call goes to the backend server
+//	closed := register.Close(t)     // gate, when the owner abandons the attempt
 package attempt
 
 import (
@@ -33,40 +33,40 @@
 	ErrRepeated = errs.New("once.attempt_repeated", http.StatusConflict, "the attempt was started before")
 )
 
-// DefaultBound is how many attempts a register holds. Homes care for what they
-// have under way, a few thousand in all; more means many idle homes.
+// DefaultBound is the number of attempts that a register stores. Owners have a few thousand
+// attempts in flight in total; more entries indicate many idle owners.
 const DefaultBound = 1 << 16
 
-type fate uint8
+type state uint8
 
 const (
-	started fate = iota + 1
+	started state = iota + 1
 	closed
 )
 
-// Register is the gate's memory of attempts.
+// Register stores the states of the attempts that a gate received.
 type Register struct {
-	life  string
-	bound int
+	bootID   string
+	capacity int
 
-	mu    sync.Mutex
-	turn  uint64
-	size  int
-	homes map[string]*window
+	mu          sync.Mutex
+	epochNumber uint64
+	size        int
+	windows     map[string]*window
 }
 
-// window holds the attempts of one home from low on.
+// window holds the attempts of one owner, starting from number low.
 type window struct {
-	low   uint64
-	fates map[uint64]fate
+	low    uint64
+	states map[uint64]state
 }
 
-// NewRegister returns an empty register of a process's life.
-func NewRegister(life string, bound int) *Register {
-	return &Register{life: life, bound: bound, homes: map[string]*window{}}
+// NewRegister returns an empty register for the process with this boot ID.
+func NewRegister(bootID string, capacity int) *Register {
+	return &Register{bootID: bootID, capacity: capacity, windows: map[string]*window{}}
 }
 
-// Epoch returns what tickets must name.
+// Epoch returns the epoch that tickets must name.
 func (r *Register) Epoch() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,10 +74,10 @@
 	return r.epoch()
 }
 
-func (r *Register) epoch() string { return r.life + "/" + strconv.FormatUint(r.turn, 10) }
+func (r *Register) epoch() string { return r.bootID + "/" + strconv.FormatUint(r.epochNumber, 10) }
 
-// Start allows the attempt to run. After ErrEpoch or ErrClosed it has not run and
-// never will; after ErrRepeated or ErrLate it may have run before.
+// Start allows the attempt to run. After ErrEpoch or ErrClosed it has not run and never will; after
+// ErrRepeated or ErrLate it may have run before.
 func (r *Register) Start(t call.Ticket) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,7 +86,7 @@
 		return ErrEpoch
 	}
 
-	if !r.fits() {
+	if !r.ensureCapacity() {
 		return ErrEpoch
 	}
 
@@ -95,70 +95,72 @@
 	switch {
 	case t.Number < w.low:
 		return ErrLate
-	case w.fates[t.Number] == closed:
+	case w.states[t.Number] == closed:
 		return ErrClosed
-	case w.fates[t.Number] == started:
+	case w.states[t.Number] == started:
 		return ErrRepeated
 	}
 
-	r.put(w, t.Number, started)
+	r.setState(w, t.Number, started)
 
 	return nil
 }
 
-// Close reports whether the attempt has not been started; then it never will be.
+// Close prevents the attempt from starting. It reports false if the attempt was started or may have
+// been.
 func (r *Register) Close(t call.Ticket) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	// An attempt of an old epoch is not startable, but may have been.
-	if t.Epoch != r.epoch() || !r.fits() {
+	// An attempt of an old epoch can no longer start, but may have started before.
+	if t.Epoch != r.epoch() || !r.ensureCapacity() {
 		return false
 	}
 
 	w := r.window(t)
-	if t.Number < w.low || w.fates[t.Number] == started {
+	if t.Number < w.low || w.states[t.Number] == started {
 		return false
 	}
 
-	r.put(w, t.Number, closed)
+	r.setState(w, t.Number, closed)
 
 	return true
 }
 
-// fits makes room by a new epoch when the register is full: every ticket under
-// way is then refused as not run, which is safe, and homes fetch the new epoch.
-func (r *Register) fits() bool {
-	if r.size < r.bound {
+// ensureCapacity starts a new epoch if the register is full, and reports whether it had room. A new
+// epoch rejects every outstanding ticket as not run, which is safe; owners then fetch the new
+// epoch.
+func (r *Register) ensureCapacity() bool {
+	if r.size < r.capacity {
 		return true
 	}
 
-	r.turn++
+	r.epochNumber++
 	r.size = 0
-	r.homes = map[string]*window{}
+	r.windows = map[string]*window{}
 
 	return false
 }
 
-func (r *Register) put(w *window, n uint64, f fate) {
-	if w.fates[n] == 0 {
+func (r *Register) setState(w *window, n uint64, f state) {
+	if w.states[n] == 0 {
 		r.size++
 	}
 
-	w.fates[n] = f
+	w.states[n] = f
 }
 
 func (r *Register) window(t call.Ticket) *window {
-	w := r.homes[t.Home]
+	w := r.windows[t.Home]
 	if w == nil {
-		w = &window{low: t.Low, fates: map[uint64]fate{}}
-		r.homes[t.Home] = w
+		w = &window{low: t.Low, states: map[uint64]state{}}
+		r.windows[t.Home] = w
 		r.size++
 	}
 
-	for ; w.low < t.Low && len(w.fates) > 0; w.low++ {
-		if w.fates[w.low] != 0 {
-			delete(w.fates, w.low)
+	for ; w.low < t.Low && len(w.states) > 0; w.low++ {
+		if w.states[w.low] != 0 {
+			delete(w.states, w.low)
 			r.size--
 		}
 	}
--- a/internal/once/attempt/sequence.go
+++ b/internal/once/attempt/sequence.go
@@ -6,19 +6,19 @@
 	"github.com/pollencart/pollencart/internal/call"
 )
 
-// Sequence numbers the attempts of one home.
+// Sequence numbers the attempts of one owner process.
 type Sequence struct {
 	home string
 
-	mu   sync.Mutex
-	last uint64
-	open map[uint64]struct{}
-	low  uint64
+	mu         sync.Mutex
+	last       uint64
+	open       map[uint64]struct{}
+	lowestOpen uint64
 }
 
-// NewSequence returns the sequence of a home's life.
+// NewSequence returns the sequence of the owner process that home identifies uniquely.
 func NewSequence(home string) *Sequence {
-	return &Sequence{home: home, open: map[uint64]struct{}{}, low: 1}
+	return &Sequence{home: home, open: map[uint64]struct{}{}, lowestOpen: 1}
 }
 
 // Next returns the ticket of a new attempt.
@@ -29,63 +29,63 @@
 	s.last++
 	s.open[s.last] = struct{}{}
 
-	return call.Ticket{Home: s.home, Number: s.last, Low: s.low, Epoch: epoch}
+	return call.Ticket{Home: s.home, Number: s.last, Low: s.lowestOpen, Epoch: epoch}
 }
 
-// End notes that the fate of an attempt no longer matters to the home.
+// End marks an attempt as finished, so that gates can drop its state.
 func (s *Sequence) End(t call.Ticket) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	delete(s.open, t.Number)
 
-	for s.low <= s.last {
-		if _, open := s.open[s.low]; open {
+	for s.lowestOpen <= s.last {
+		if _, open := s.open[s.lowestOpen]; open {
 			return
 		}
 
-		s.low++
+		s.lowestOpen++
 	}
 }
 
-// Run is what became of the attempts of one key. It lets the next one out only
-// if all before surely did not run.
+// Run tracks the attempts of one key. It allows the next attempt only if all earlier ones certainly
+// did not run.
 type Run struct {
-	mu       sync.Mutex
-	out      bool
-	unknown  bool
-	finished bool
+	mu        sync.Mutex
+	inFlight  bool
+	ambiguous bool
+	finished  bool
 }
 
-// Begin allows an attempt, or reports that there must be none.
+// Begin reports whether an attempt may start, and marks it as in flight.
 func (r *Run) Begin() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if r.out || r.unknown || r.finished {
+	if r.inFlight || r.ambiguous || r.finished {
 		return false
 	}
 
-	r.out = true
+	r.inFlight = true
 
 	return true
 }
 
-// End notes what became of the attempt.
+// End records whether the attempt in flight ran.
 func (r *Run) End(ran call.Ran) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.out = false
-	r.unknown = r.unknown || ran != call.RanNo
+	r.inFlight = false
+	r.ambiguous = r.ambiguous || ran != call.RanNo
 }
 
-// Finish allows no attempt from now on and reports whether any may have run.
+// Finish prevents further attempts and reports whether any may have run.
 func (r *Run) Finish() (mayHaveRun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	r.finished = true
 
-	return r.out || r.unknown
+	return r.inFlight || r.ambiguous
 }
