--- a/internal/once/shard/keeper.go
+++ b/internal/once/shard/keeper.go
@@ -15,21 +15,21 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Key is where the list is on the platform.
+// Key is the key of the list in the store of the platform.
 const Key = "/pollencart/once/shards"
 
-// MethodPull is the peer method by which a node gets a newer list.
+// MethodPull is the peer method by which a node fetches a newer list.
 const MethodPull = "Once.Shards"
 
-// MethodPush is the peer method by which a node that leaves sends the list.
+// MethodPush is the peer method by which a draining node sends the list.
 const MethodPush = "Once.ShardsPush"
 
-// Pull asks for a list newer than the number.
+// Pull requests a list that is newer than Number.
 type Pull struct {
 	Number uint64 `msgpack:"Number"`
 }
 
-// Nodes gives the nodes that are thought to run.
+// Nodes provides the nodes that are considered alive.
 type Nodes interface {
 	Live() []membership.Record
 }
@@ -39,13 +39,13 @@
 	Do(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error
 }
 
-// Store is the platform's key-value service.
+// Store is the key-value store of the platform.
 type Store interface {
 	Get(ctx context.Context, key string) (platform.Entry, error)
 	Swap(ctx context.Context, key string, revision int64, value []byte, opts ...platform.PutOption) (int64, error)
 }
 
-// Keeper holds the list and claims the shards of one process.
+// Keeper stores the current list and claims shards for one process.
 type Keeper struct {
 	options Options
 	self    Self
@@ -53,27 +53,27 @@
 	nodes   Nodes
 	peers   Peers
 
-	mu       sync.Mutex
-	list     List
-	owned    map[int]time.Time // since when
-	released bool
-	read     time.Time // when the platform was last read
-	asked    bool      // a peer answered in this life
-	began    time.Time
-	nudged   chan struct{}
-	adopted  map[int]adoption
+	mu           sync.Mutex
+	list         List
+	owned        map[int]time.Time // start of ownership by shard index
+	stopped      bool
+	lastRead     time.Time // last read of the platform
+	peerAnswered bool      // a peer has answered since this process booted
+	startedAt    time.Time
+	nudges       chan struct{}
+	adopted      map[int]adoption
 }
 
-// New returns a keeper without a list.
+// New returns a keeper that has no list yet.
 func New(self Self, store Store, nodes Nodes, peers Peers, opts ...Option) *Keeper {
 	return &Keeper{
 		options: newOptions(opts...), self: self, store: store, nodes: nodes, peers: peers, owned: map[int]time.Time{}, adopted: map[int]adoption{},
-		nudged: make(chan struct{}, 1),
+		nudges: make(chan struct{}, 1),
 	}
 }
 
-// Owner returns the node that owns the shard of a key, and its life.
-func (k *Keeper) Owner(text string) (node, life string, ok bool) {
+// Owner returns the node ID and boot ID of the owner of a key.
+func (k *Keeper) Owner(text string) (node, bootID string, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
@@ -82,11 +82,11 @@
 	return s.Node, s.Life, ok && s.Node != ""
 }
 
-// Own says what the process may do with a key.
+// Own describes what this process may do with an opaque key.
 type Own struct {
 	// Mine is set if this process owns the key's shard.
 	Mine bool
-	// Wait is how long keys that it has not seen are still unknown.
+	// Wait is the remaining time in which keys without a record end as unknown.
 	Wait time.Duration
 	// Leaving is set while this process hands its shards over.
 	Leaving bool
@@ -100,14 +100,14 @@
 	_, i, ok := k.list.Of(text)
 	_, owned := k.owned[i]
 
-	if !ok || !owned || k.released {
-		return Own{Leaving: k.released}
+	if !ok || !owned || k.stopped {
+		return Own{Leaving: k.stopped}
 	}
 
-	return Own{Mine: true, Wait: k.waitOf(i)}
+	return Own{Mine: true, Wait: k.unknownFor(i)}
 }
 
-// List returns the list that is held.
+// List returns the current list.
 func (k *Keeper) List() List {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -115,7 +115,7 @@
 	return k.list
 }
 
-// Serve answers a peer that asks for a newer list.
+// Serve handles MethodPull. It returns an empty list if the peer is up to date.
 func (k *Keeper) Serve(_ context.Context, in Pull) (List, error) {
 	l := k.List()
 	if l.Number <= in.Number {
@@ -125,10 +125,10 @@
 	return l, nil
 }
 
-// Run keeps the list and the claims until ctx ends.
+// Run keeps the list up to date and claims shards until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	k.mu.Lock()
-	k.began = time.Now()
+	k.startedAt = time.Now()
 	k.mu.Unlock()
 
 	for ctx.Err() == nil {
@@ -140,26 +140,26 @@
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause/2 + rand.N(pause)):
-		case <-k.nudged:
-			idle.For(ctx, k.options.Retry) // however many calls find the list old
+		case <-k.nudges:
+			idle.For(ctx, k.options.Retry) // bounds the rate of nudged rounds
 		}
 	}
 }
 
-// Nudge tells that a call found the list old or a shard vacant.
+// Nudge triggers a round after a call found the list outdated or a shard vacant.
 func (k *Keeper) Nudge() {
 	select {
-	case k.nudged <- struct{}{}:
+	case k.nudges <- struct{}{}:
 	default:
 	}
 }
 
-// Round asks a peer and, where it must, the platform. It reports whether all
-// shards have owners, so that there is no hurry.
+// Round refreshes the list from a peer and, if necessary, from the platform. It reports whether
+// every shard has an owner, so that the next round can wait for the regular interval.
 func (k *Keeper) Round(ctx context.Context) (done bool) {
 	k.pull(ctx)
 
-	if k.mustRead() {
+	if k.needsRead() {
 		k.sync(ctx)
 	}
 
@@ -196,15 +196,15 @@
 	}
 
 	k.mu.Lock()
-	k.asked = true
+	k.peerAnswered = true
 	k.mu.Unlock()
 
-	k.take(l)
+	k.apply(l)
 }
 
-// take holds a list if it is newer, and notes which shards this process owns in
-// it. A shard is owned only by what stands in a list that the platform took.
-func (k *Keeper) take(l List) {
+// apply stores a list if it is newer than the current one, and records which shards this process
+// owns. Ownership counts only once it is in a list that the platform has accepted.
+func (k *Keeper) apply(l List) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
--- a/internal/once/shard/leave.go
+++ b/internal/once/shard/leave.go
@@ -8,47 +8,48 @@
 	"github.com/pollencart/pollencart/internal/peer"
 )
 
-// adoption is what an owner that leaves has handed over.
+// adoption describes the records of a shard that a draining owner has handed over.
 type adoption struct {
-	from string
-	// until is how long keys that even the leaving owner had not seen are unknown.
+	fromBootID string
+	// until is the time before which keys that the draining owner had no record of end as unknown.
 	until time.Time
 }
 
-// Stop lets this process start no opaque key from now on, and returns the shards
-// that it owns, with the time for which unseen keys are still unknown. It comes
-// before any change on the platform: nobody else owns the shards before this one
-// has stopped.
+// Stop prevents this process from starting opaque keys. It returns the owned shards with the
+// remaining time in which keys without a record end as unknown. A handover calls it before it
+// changes the list on the platform, so that no other process owns the shards while this one still
+// starts keys.
 func (k *Keeper) Stop() map[int]time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
 	out := map[int]time.Duration{}
 	for i := range k.owned {
-		out[i] = k.waitOf(i)
+		out[i] = k.unknownFor(i)
 	}
 
-	k.released = true
+	k.stopped = true
 
 	return out
 }
 
-// waitOf returns how long unseen keys of an owned shard are unknown.
-func (k *Keeper) waitOf(i int) time.Duration {
+// unknownFor returns the remaining time in which keys of an owned shard end as unknown if they have
+// no record.
+func (k *Keeper) unknownFor(i int) time.Duration {
 	s := k.list.Shards[i]
 
-	if a := k.adopted[i]; s.From != "" && a.from == s.From {
+	if a := k.adopted[i]; s.FromBootID != "" && a.fromBootID == s.FromBootID {
 		return max(0, time.Until(a.until))
 	}
 
-	if !s.Before && s.From == "" {
+	if !s.RecordsLost && s.FromBootID == "" {
 		return 0
 	}
 
 	return max(0, k.options.Repeat-time.Since(k.owned[i]))
 }
 
-// Successor returns the node that gets a shard when this one leaves.
+// Successor returns the node that receives a shard when this node drains.
 func (k *Keeper) Successor(i int) (membership.Record, bool) {
 	return k.successor(i, k.self.FailureDomain, k.self.Node)
 }
@@ -66,13 +67,13 @@
 		}
 	}
 
-	r, ok := byID[first(i, ids)]
+	r, ok := byID[preferredNode(i, ids)]
 
 	return r, ok
 }
 
-// Renew asks the node that would have got the shard of a key if its owner left,
-// and reports whether there is a newer list.
+// Renew fetches the list from the node that would succeed the owner of a key, and reports whether
+// the list is newer than the current one.
 func (k *Keeper) Renew(ctx context.Context, text string) bool {
 	held := k.List()
 
@@ -88,25 +89,25 @@
 	return k.List().Number > held.Number
 }
 
-// Adopt notes that the records of a shard are here. They count only once the list
-// says that this process owns the shard from that life.
-func (k *Keeper) Adopt(i int, from string, wait time.Duration) {
+// Adopt notes that this process stores the records of a shard. They take effect once the list names
+// this process as the successor of the process that sent them.
+func (k *Keeper) Adopt(i int, fromBootID string, wait time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
-	k.adopted[i] = adoption{from: from, until: time.Now().Add(wait)}
+	k.adopted[i] = adoption{fromBootID: fromBootID, until: time.Now().Add(wait)}
 }
 
-// Transfer gives the shards to their successors and makes the rest vacant. If the
-// platform does not answer, the next life of this node claims them.
+// Transfer assigns the shards to their successors and makes the remaining ones vacant. If the
+// platform is unavailable, the next boot of this node claims them.
 func (k *Keeper) Transfer(ctx context.Context, successors map[int]Self) {
 	k.change(ctx, func(l List) (List, bool) { return l.Transfer(k.self, successors) })
 	k.Vacate(ctx, k.self.Node)
 	k.push(ctx)
 }
 
-// push brings the list to the other owners in this failure domain: the successors,
-// whom everybody asks who finds this node gone.
+// push sends the list to the other owners in this failure domain. They include the successors,
+// which nodes contact after they find this node unreachable.
 func (k *Keeper) push(ctx context.Context) {
 	l := k.List()
 	owners := map[string]bool{}
@@ -124,32 +125,32 @@
 	}
 }
 
-// ServePush takes a list that another node sends.
+// ServePush handles MethodPush.
 func (k *Keeper) ServePush(_ context.Context, l List) (List, error) {
-	k.take(l)
+	k.apply(l)
 
 	return List{}, nil
 }
 
-// Vacate makes the shards of a node vacant: its own, or on an operator's word
-// those of a host that is gone for good.
+// Vacate makes the shards of a node vacant: this node's own when it drains, or those of a host that
+// an operator declares permanently lost.
 func (k *Keeper) Vacate(ctx context.Context, node string) {
 	k.change(ctx, func(l List) (List, bool) { return l.Vacate(node) })
 }
 
-// change swaps the list until nothing is left to change.
+// change applies next to the list on the platform, and retries until nothing is left to change.
 func (k *Keeper) change(ctx context.Context, next func(List) (List, bool)) {
 	const tries = 5
 
 	for range tries {
-		l, revision, err := k.get(ctx)
+		l, revision, err := k.load(ctx)
 		if err != nil || revision == 0 {
 			return
 		}
 
 		changed, ok := next(l)
 		if !ok {
-			k.take(l)
+			k.apply(l)
 
 			return
 		}
--- a/internal/once/shard/list.go
+++ b/internal/once/shard/list.go
@@ -1,29 +1,26 @@
-// Package shard says which process is the home of an opaque key: one that names
-// no home itself.
+// Package shard assigns opaque idempotency keys, which name no owner, to owner processes.
 //
-// The opaque keys are cut into a fixed number of shards, which never changes:
-// not with the settings, not with who is believed alive. One value on the
-// platform has the owner of each, a process by its life, and changes only by
-// compare-and-swap:
+// Opaque keys are hashed into a fixed number of shards, which depends neither on the settings nor
+// on the membership view. One value in the store of the platform lists the owner of each shard, a
+// process identified by its boot ID, and changes only by compare-and-swap:
 //
 //   - a vacant shard is claimed by a node of its failure domain;
-//   - a shard of an earlier life of the same node is claimed by the next one,
-//     which could not listen on the node's addresses if the earlier still ran;
-//   - an owner that leaves hands its shards with their records to another node
-//     of the failure domain, or makes them vacant;
-//   - an operator's word makes the shards of a host that is gone vacant.
+//   - a shard of an earlier boot of the same node is claimed by the next boot, which could not
+//     listen on the addresses of the node if the earlier process were still running;
+//   - a draining owner hands its shards over, with their records, to another node of the failure
+//     domain, or makes them vacant;
+//   - an operator makes the shards of a permanently lost host vacant.
 //
-// So no two processes both own a shard, and an outage of the platform changes
-// nothing for those that own one. What goes wrong without it: two nodes that
-// disagree on who is alive both run the upload that its caller repeated.
+// So no two processes own the same shard at once, and an outage of the platform does not affect
+// existing owners. Without the list, two nodes with different membership views could both run an
+// upload that its caller retries.
 //
-// An owner that takes over from another can't know what that one ran. It answers
-// unknown to keys that it has not seen until the time has passed in which a
-// caller may repeat them.
+// An owner that takes a shard over without its records cannot know which keys ran. It answers
+// unknown for keys without a record until callers may no longer retry them.
 //
-//	k := shard.New(self, life, store, peers, shard.Watching(f))
+//	k := shard.New(self, store, nodes, peers, shard.Watching(f))
 //	go k.Run(ctx)
-//	node, life, ok := k.Owner(text)
+//	node, bootID, ok := k.Owner(text)
 //	own := k.Own(text)
 package shard
 
@@ -39,34 +36,32 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// ErrList is returned for a list that does not check.
+// ErrList is returned for an invalid list.
 var ErrList = errs.New("once.shards", http.StatusBadRequest, "list of shards not accepted")
 
-// PerDomain is how many shards a failure domain has, and so how many of its
-// nodes own any: enough to spread the load and few enough that the list stays
-// under 32 KB for 14 failure domains.
+// PerDomain is the number of shards of a failure domain, and thus the maximum number of its nodes
+// that own one. It spreads the load and keeps the list under 32 KB for 14 failure domains.
 const PerDomain = 16
 
 // Shard is a fixed share of the opaque keys.
 type Shard struct {
 	FailureDomain string `json:"FailureDomain" msgpack:"FailureDomain"`
-	// Node and Life name the owner; a vacant shard has none.
+	// Node and its boot ID identify the owner; both are empty for a vacant shard.
 	Node string `json:"Node,omitempty" msgpack:"Node,omitempty"`
 	Life string `json:"Life,omitempty" msgpack:"Life,omitempty"`
-	// Before says that another life owned the shard before, whose records are
-	// lost.
-	Before bool `json:"Before,omitempty" msgpack:"Before,omitempty"`
-	// From is the life that left and handed its records over.
-	From string `json:"From,omitempty" msgpack:"From,omitempty"`
+	// RecordsLost is set if an earlier owner may have run keys whose records were not handed over.
+	RecordsLost bool `json:"Before,omitempty" msgpack:"Before,omitempty"`
+	// FromBootID is the boot ID of the draining process that handed over its records.
+	FromBootID string `json:"From,omitempty" msgpack:"From,omitempty"`
 }
 
-// List is all shards. Number goes up with every change.
+// List contains all shards. Number increases with every change.
 type List struct {
 	Number uint64  `json:"Number" msgpack:"Number"`
 	Shards []Shard `json:"Shards" msgpack:"Shards"`
 }
 
-// Check reports whether a decoded list can be used.
+// Check validates a decoded list.
 func (l *List) Check() error {
 	if (l.Number == 0) != (len(l.Shards) == 0) {
 		return ErrList.With("number %d with %d shards", l.Number, len(l.Shards))
@@ -75,7 +70,7 @@
 	return nil
 }
 
-// NewList returns vacant shards for the failure domains.
+// NewList returns a list of vacant shards for the failure domains.
 func NewList(domains []string) List {
 	domains = slices.Compact(slices.Sorted(slices.Values(domains)))
 
@@ -90,7 +85,7 @@
 	return l
 }
 
-// Parse decodes the value on the platform.
+// Parse decodes a list from the store of the platform.
 func Parse(data []byte) (List, error) {
 	var l List
 	if err := json.Unmarshal(data, &l); err != nil {
@@ -100,7 +95,7 @@
 	return l, l.Check()
 }
 
-// Of returns the shard of a key.
+// Of returns the shard of a key and its index.
 func (l List) Of(key string) (Shard, int, bool) {
 	if len(l.Shards) == 0 {
 		return Shard{}, 0, false
@@ -111,43 +106,42 @@
 	return l.Shards[i], i, true
 }
 
-// Self is who claims.
+// Self identifies a process that claims shards.
 type Self struct {
 	Node          string
 	Life          string
 	FailureDomain string
 }
 
-// Claim returns the list with the shards that the process may take: those of an
-// earlier life of its node, and the vacant ones of its failure domain for which
-// it comes first among the nodes.
+// Claim returns the list after the process has claimed the shards available to it: those of an
+// earlier boot of its node, and the vacant ones of its failure domain for which it is the preferred
+// node.
 func (l List) Claim(self Self, nodes []string) (List, bool) {
 	return l.change(func(i int, s Shard) Shard {
 		mine := s.Node == self.Node && s.Life != self.Life
-		vacant := s.Node == "" && s.FailureDomain == self.FailureDomain && first(i, nodes) == self.Node
+		vacant := s.Node == "" && s.FailureDomain == self.FailureDomain && preferredNode(i, nodes) == self.Node
 
 		if mine || vacant {
-			return Shard{FailureDomain: s.FailureDomain, Node: self.Node, Life: self.Life, Before: s.Before || mine}
+			return Shard{FailureDomain: s.FailureDomain, Node: self.Node, Life: self.Life, RecordsLost: s.RecordsLost || mine}
 		}
 
 		return s
 	})
 }
 
-// Vacate returns the list without the owner: it leaves, or an operator says that
-// its host is gone.
+// Vacate returns the list with all shards of a node vacant.
 func (l List) Vacate(node string) (List, bool) {
 	return l.change(func(_ int, s Shard) Shard {
 		if s.Node == node {
-			return Shard{FailureDomain: s.FailureDomain, Before: true}
+			return Shard{FailureDomain: s.FailureDomain, RecordsLost: true}
 		}
 
 		return s
 	})
 }
 
-// Transfer returns the list with the shards of one life given to their successors, by
-// the number of the shard.
+// Transfer returns the list with the shards of one process assigned to their successors, given by
+// shard index.
 func (l List) Transfer(from Self, successors map[int]Self) (List, bool) {
 	return l.change(func(i int, s Shard) Shard {
 		successor, ok := successors[i]
@@ -155,7 +149,7 @@
 			return s
 		}
 
-		return Shard{FailureDomain: s.FailureDomain, Node: successor.Node, Life: successor.Life, From: from.Life}
+		return Shard{FailureDomain: s.FailureDomain, Node: successor.Node, Life: successor.Life, FromBootID: from.Life}
 	})
 }
 
@@ -179,9 +173,9 @@
 	return out, true
 }
 
-// first spreads vacant shards over nodes by rendezvous hashing. Nodes that
-// disagree on who is there claim the same shard, and one swap wins.
-func first(i int, nodes []string) string {
+// preferredNode spreads vacant shards over nodes by rendezvous hashing. Nodes with different
+// membership views may claim the same shard; only one compare-and-swap succeeds.
+func preferredNode(i int, nodes []string) string {
 	if len(nodes) == 0 {
 		return ""
 	}
--- a/internal/once/shard/list_test.go
+++ b/internal/once/shard/list_test.go
@@ -24,46 +24,46 @@
 	return l
 }
 
-// A node that only believes that the owner is gone must not get its keys: both
-// would run an upload that its caller repeats.
-func TestAnOwnedShardIsNotClaimedByAnother(t *testing.T) {
+// A node that merely considers the owner failed must not claim its shards; both nodes would run an
+// upload that its caller retries.
+func TestOwnedShardIsNotClaimedByAnotherNode(t *testing.T) {
 	l := claimed(t)
 
 	_, ok := l.Claim(b1, []string{"b"})
 	assert.Assert(t, !ok)
 
 	_, ok = l.Claim(a1, []string{"a"})
-	assert.Assert(t, !ok, "it has them")
+	assert.Assert(t, !ok, "the process already owns the shards")
 
 	next, ok := l.Claim(a2, []string{"a"})
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, next.Shards[0], shard.Shard{FailureDomain: "derby", Node: "a", Life: "2", Before: true})
+	assert.DeepEqual(t, next.Shards[0], shard.Shard{FailureDomain: "derby", Node: "a", Life: "2", RecordsLost: true})
 }
 
-// What another life may have run is remembered, however often a shard changes
-// hands; only a handover with records ends it.
-func TestAShardRemembersThatItWasOwned(t *testing.T) {
+// An earlier owner may have run keys of a shard. The list keeps this fact across changes of owner
+// until a handover transfers the records.
+func TestRecordsLostPersistsUntilHandover(t *testing.T) {
 	l := claimed(t)
-	assert.Assert(t, !l.Shards[0].Before)
+	assert.Assert(t, !l.Shards[0].RecordsLost)
 
 	l, ok := l.Vacate("a")
-	assert.Assert(t, ok && l.Shards[0].Node == "" && l.Shards[0].Before)
+	assert.Assert(t, ok && l.Shards[0].Node == "" && l.Shards[0].RecordsLost)
 
 	l, ok = l.Claim(b1, []string{"b"})
-	assert.Assert(t, ok && l.Shards[0].Before)
+	assert.Assert(t, ok && l.Shards[0].RecordsLost)
 
 	given, ok := l.Transfer(b1, map[int]shard.Self{0: a2})
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, given.Shards[0], shard.Shard{FailureDomain: "derby", Node: "a", Life: "2", From: "1"})
+	assert.DeepEqual(t, given.Shards[0], shard.Shard{FailureDomain: "derby", Node: "a", Life: "2", FromBootID: "1"})
 	assert.Equal(t, given.Shards[1], l.Shards[1])
 
 	_, ok = given.Transfer(b1, map[int]shard.Self{0: b1})
-	assert.Assert(t, !ok, "only the owner gives")
+	assert.Assert(t, !ok, "only the owner can transfer a shard")
 }
 
-// Keys must not move when the settings gain a failure domain: the list stays as
-// it was first written, and its size at 14 failure domains fits one value.
-func TestTheListIsSmallAndFixed(t *testing.T) {
+// Keys must not move to other shards when the settings gain a failure domain, so the list keeps its
+// shards once written. Its size for 14 failure domains must fit into one value of the platform.
+func TestListSizeIsFixedAndBounded(t *testing.T) {
 	domains := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "n"}
 	l := shard.NewList(domains)
 	assert.Equal(t, len(l.Shards), 14*shard.PerDomain)
--- a/internal/once/shard/options.go
+++ b/internal/once/shard/options.go
@@ -6,21 +6,20 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Defaults of the options.
+// Default intervals of a keeper.
 const (
-	// DefaultSettle is how long a node listens to gossip before it claims vacant
-	// shards: the first node of a domain would otherwise take them all.
+	// DefaultSettle is how long a node collects members through gossip before it claims vacant
+	// shards. Without it, the first node of a failure domain would claim them all.
 	DefaultSettle = time.Second
-	// DefaultRepeat is the longest time after which a caller may still repeat an
-	// opaque key whose home was replaced.
+	// DefaultRepeat is how long a caller may retry an opaque key after its owner was replaced.
 	DefaultRepeat = 5 * time.Minute
-	// DefaultRefresh is how often a node compares its list with a peer's.
+	// DefaultRefresh is how often a node compares its list with that of a peer.
 	DefaultRefresh = 5 * time.Second
-	// DefaultRetry is how often a node tries while a shard has no owner.
+	// DefaultRetry is the interval between rounds while a shard is vacant.
 	DefaultRetry = 250 * time.Millisecond
 )
 
-// Options of a keeper.
+// Options configures a Keeper.
 type Options struct {
 	Settle   time.Duration
 	Repeat   time.Duration
@@ -31,7 +30,7 @@
 	Recorder *timeline.Recorder
 }
 
-// Option sets an option.
+// Option changes one of the Options.
 type Option func(*Options)
 
 func newOptions(opts ...Option) Options {
@@ -51,15 +50,16 @@
 // Settle sets how long a node waits before it claims vacant shards.
 func Settle(d time.Duration) Option { return func(o *Options) { o.Settle = d } }
 
-// Repeat sets how long a caller may repeat a key after its home was replaced.
+// Repeat sets how long a caller may retry a key after its owner was replaced.
 func Repeat(d time.Duration) Option { return func(o *Options) { o.Repeat = d } }
 
-// Domains sets what gives the failure domains, from the settings in force; they
-// are asked for once in the life of a deployment.
+// Domains sets the source of the failure domains in the active settings. It is used only to create
+// the list, once per deployment.
 func Domains(f func() []string) Option { return func(o *Options) { o.Domains = f } }
 
-// Watching sets what tells whether this node reads the platform for others.
+// Watching sets the function that reports whether this node reads the platform on behalf of its
+// failure domain.
 func Watching(f func() bool) Option { return func(o *Options) { o.Watching = f } }
 
-// Recorder sets where events go.
+// Recorder sets the recorder of timeline events.
 func Recorder(r *timeline.Recorder) Option { return func(o *Options) { o.Recorder = r } }
--- a/internal/once/shard/sync.go
+++ b/internal/once/shard/sync.go
@@ -10,27 +10,27 @@
 	"github.com/pollencart/pollencart/internal/platform"
 )
 
-// mustRead keeps the load on the platform to the watchers of each failure domain
-// and to those that have something to claim.
-func (k *Keeper) mustRead() bool {
+// needsRead reports whether to read the platform. To limit its load, only the watchers of each
+// failure domain and nodes that can claim a shard do so.
+func (k *Keeper) needsRead() bool {
 	held := k.List()
 	_, claims := held.Claim(k.self, k.claimants())
 
 	k.mu.Lock()
-	due := time.Since(k.read) >= k.options.Refresh
+	due := time.Since(k.lastRead) >= k.options.Refresh
 	k.mu.Unlock()
 
 	return claims || (k.options.Watching() && (held.Number == 0 || due))
 }
 
-// claimants are the nodes among which vacant shards are spread. Before this
-// process has listened for a while it leaves them to others. One that has peers
-// and could ask none of them might act on a platform that came back from an
-// older copy, in which shards are vacant that others own.
+// claimants returns the nodes among which vacant shards are spread, or none while this process must
+// not claim vacant shards. It must not claim them before the settle time has passed. It must also
+// not claim them while it has peers but none has answered, since the store of the platform may have
+// been restored from an older copy in which owned shards appear vacant.
 func (k *Keeper) claimants() []string {
 	k.mu.Lock()
-	settled := !k.began.IsZero() && time.Since(k.began) >= k.options.Settle
-	asked := k.asked
+	settled := !k.startedAt.IsZero() && time.Since(k.startedAt) >= k.options.Settle
+	peerAnswered := k.peerAnswered
 	k.mu.Unlock()
 
 	var out []string
@@ -45,37 +45,38 @@
 		}
 	}
 
-	if !settled || (!asked && !alone) {
+	if !settled || (!peerAnswered && !alone) {
 		return nil
 	}
 
 	return out
 }
 
-// sync reads the list, claims and swaps. After a conflict or a lost answer the
-// next round reads what is there.
+// sync reads the list, claims shards and writes the list back. After a conflict or a lost reply,
+// the next round reads the result.
 func (k *Keeper) sync(ctx context.Context) {
 	const limit = 2 * time.Second
 
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 
-	l, revision, err := k.get(ctx)
+	l, revision, err := k.load(ctx)
 	if err != nil {
 		return
 	}
 
 	k.mu.Lock()
-	k.read = time.Now()
-	released := k.released
+	k.lastRead = time.Now()
+	stopped := k.stopped
 	k.mu.Unlock()
 
 	next, changed := l, false
-	if !released {
+	if !stopped {
 		next, changed = l.Claim(k.self, k.claimants())
 	}
 
-	// The platform may have come back from an older copy; what is held wins.
+	// The store may have been restored from an older copy; the newer list of this process takes
+	// precedence.
 	if held := k.List(); l.Number < held.Number {
 		next, changed = List{Number: held.Number + 1, Shards: held.Shards}, true
 	}
@@ -85,7 +86,7 @@
 	}
 
 	if !changed {
-		k.take(l)
+		k.apply(l)
 
 		return
 	}
@@ -93,8 +94,8 @@
 	k.swap(ctx, revision, next)
 }
 
-// get reads the list; before there is one, a watcher makes it.
-func (k *Keeper) get(ctx context.Context) (List, int64, error) {
+// load reads the list. If there is none, a watcher creates it.
+func (k *Keeper) load(ctx context.Context) (List, int64, error) {
 	e, err := k.store.Get(ctx, Key)
 	if err == nil {
 		l, err := Parse(e.Value)
@@ -121,6 +122,6 @@
 	}
 
 	if _, err := k.store.Swap(ctx, Key, revision, data); err == nil {
-		k.take(next)
+		k.apply(next)
 	}
 }
