--- a/internal/once/key/key.go
+++ b/internal/once/key/key.go
@@ -1,15 +1,15 @@
-// Package key reads and makes idempotency keys that name their home: the one
-// process that may start them.
+// Package key parses and creates idempotency keys that name their owner, the one process that may
+// run them.
 //
-// Every answer of a node tells its home name in the header Pollencart-Home. A
-// caller appends a dot and a token of its own, and has a key:
+// Every answer of a node carries the name of its process in the header Pollencart-Home. A caller
+// appends a dot and a token of its own to form a key:
 //
 //	pc1.nottm-a-browse-1.mjf2k0x1-9f8e7d6c5b4a3021.7.01JE2Z9T4S0W5Q8R6M3N1P7XKD
 //
-// The name has the node's ID, the life of its process, and the generation of
-// records. A life is unique: a process that is replaced never takes the keys of
-// the one before it for its own. A generation is dropped as a whole; a key of a
-// dropped one is known to be too old without any clock.
+// The name consists of the node ID, the boot ID of the process and the generation of its records.
+// Boot IDs are unique, so a process never accepts the keys of its predecessor on the same node.
+// Generations are dropped as a whole, so a key of a dropped generation is detected as too old
+// without a clock.
 //
 //	k, named := key.Parse(text)
 //	text := home.Key(ulid.Make().String())
@@ -25,51 +25,51 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// ErrKey is returned for a key that can't be used.
+// ErrKey is returned for an invalid key.
 var ErrKey = errs.New("once.key", http.StatusBadRequest, "Idempotency-Key not accepted")
 
-// MaxLength bounds a key, since a home holds it for as long as its record.
+// MaxLength bounds the length of a key, since the owner stores it with its record.
 const MaxLength = 255
 
 const (
-	prefix     = "pc1."
-	base       = 36
-	randomness = 8
+	prefix      = "pc1."
+	base        = 36
+	randomBytes = 8
 )
 
-// Home names a process and the generation of its records.
+// Home names an owner process and a generation of its records.
 type Home struct {
 	Node       string
 	Life       string
 	Generation uint64
 }
 
-// Key is a key that names its home.
+// Key is a key that names its owner.
 type Key struct {
 	Home  Home
 	Token string
 }
 
-// NewLife names the life of a process. The incarnation alone comes from a wall
-// clock that can be set back; two lives with one name would run a key twice, so
-// the rest is random.
+// NewLife returns a unique boot ID for a process. The incarnation alone is not unique, since it
+// comes from a wall clock that can be set back; two processes with the same boot ID would both run
+// a key.
 func NewLife(incarnation uint64) string {
-	var b [randomness]byte
+	var b [randomBytes]byte
 
 	_, _ = rand.Read(b[:]) // never fails
 
 	return strconv.FormatUint(incarnation, base) + "-" + hex.EncodeToString(b[:])
 }
 
-// String returns the name as it stands in the header.
+// String returns the name in the form that the header carries.
 func (h Home) String() string {
 	return prefix + h.Node + "." + h.Life + "." + strconv.FormatUint(h.Generation, 10)
 }
 
-// Key returns the key with a caller's token.
+// Key returns the key made of the name and a caller's token.
 func (h Home) Key(token string) string { return h.String() + "." + token }
 
-// Check reports whether any key, named or opaque, can be used.
+// Check validates the length of a key, whether it names its owner or is opaque.
 func Check(text string) error {
 	if text == "" || len(text) > MaxLength {
 		return ErrKey.With("want 1 to %d bytes, got %d", MaxLength, len(text))
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Parse reads a key; false means that it names no home. It reads from the end,
-// since a node's ID may have dots.
+// Parse splits a key that names its owner; false means that the key is opaque. It parses from the
+// end, since a node ID may contain dots.
 func Parse(text string) (Key, bool) {
 	rest, ok := strings.CutPrefix(text, prefix)
 	if !ok {
--- a/internal/once/key/key_test.go
+++ b/internal/once/key/key_test.go
@@ -9,7 +9,7 @@
 	"github.com/pollencart/pollencart/internal/once/key"
 )
 
-func TestKeysNameTheirHome(t *testing.T) {
+func TestKeyNamesItsOwner(t *testing.T) {
 	h := key.Home{Node: "nottm.a-1", Life: key.NewLife(7), Generation: 12}
 
 	k, named := key.Parse(h.Key("t0"))
@@ -26,9 +26,9 @@
 	assert.NilError(t, key.Check(h.Key("t0")))
 }
 
-// A host's clock was set back, and the process after a crash has the incarnation
-// of the one before. With equal names it would take the other's keys for its own.
-func TestLivesDifferWithoutAClock(t *testing.T) {
+// After a host's clock was set back, a restarted process can get the incarnation of its
+// predecessor. With equal boot IDs it would accept the keys of the predecessor as its own.
+func TestBootIDsDifferForEqualIncarnations(t *testing.T) {
 	first, second := key.NewLife(7), key.NewLife(7)
 	assert.Assert(t, first != second)
 }
