--- a/internal/once/bloom/bloom.go
+++ b/internal/once/bloom/bloom.go
@@ -1,14 +1,14 @@
-// Package bloom remembers keys that were dropped, in fixed memory and without
-// ever forgetting one: a Bloom filter that is wrong in one direction only.
+// Package bloom implements a Bloom filter of dropped idempotency keys: fixed memory, no false
+// negatives and few false positives.
 //
-// A key that names no home tells nothing of its age. A request that waited in a
-// process that was frozen for an hour looks new, and would run again after its
-// record was dropped. With the filter it ends in unknown; so does, wrongly, one
-// new key in some four hundred of a full filter, which its caller can live with.
+// An opaque key does not reveal its age. A request that was buffered by a process during a stall
+// of an hour looks new, and would run again after its record was dropped. The filter makes it end
+// as unknown instead. A full filter does the same to about one new key in 400, a false positive
+// that callers can handle.
 //
-//	f := bloom.New()
+//	var f bloom.Filter
 //	f.Add("upload-17")
-//	f.Has("upload-17") // true for ever
+//	f.Has("upload-17") // true from now on
 package bloom
 
 import (
@@ -21,30 +21,28 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// ErrFilter is returned for a filter that does not check.
+// ErrFilter is returned for an invalid filter.
 var ErrFilter = errs.New("once.filter", http.StatusBadRequest, "filter not accepted")
 
 const (
-	// Bytes is the memory of a filter: 16 bits for each of Capacity keys.
+	// Bytes is the size of a filter: 16 bits for each of Capacity keys.
 	Bytes = 1 << 20
-	// Capacity is how many keys fit before more than one in 400 of other keys is
-	// taken for a dropped one.
+	// Capacity is the number of keys up to which the rate of false positives is at most 1 in 400.
 	Capacity = 1 << 19
 
 	wordBits = 64
 	bits     = Bytes * 8
 	probes   = 4
-	half     = 32
+	halfBits = 32
 )
 
-// Filter is a set that never forgets. The zero filter is empty and takes no
-// memory.
+// Filter is a set of keys without removal. The zero value is empty and allocates no memory.
 type Filter struct {
 	Words []uint64 `msgpack:"Words,omitempty"`
 	Size  int      `msgpack:"Size"`
 }
 
-// Check reports whether a decoded filter can be used.
+// Check validates a decoded filter.
 func (f *Filter) Check() error {
 	if len(f.Words) != 0 && len(f.Words) != bits/wordBits {
 		return ErrFilter.With("%d words", len(f.Words))
@@ -53,10 +51,10 @@
 	return nil
 }
 
-// Clone returns a copy.
+// Clone returns a deep copy.
 func (f *Filter) Clone() Filter { return Filter{Words: slices.Clone(f.Words), Size: f.Size} }
 
-// Union puts in all keys of another filter.
+// Union adds all keys of another filter.
 func (f *Filter) Union(o Filter) {
 	if o.Words == nil {
 		return
@@ -73,11 +71,11 @@
 		set += mathbits.OnesCount64(f.Words[i])
 	}
 
-	// The two may have had keys in common, so that the sum would count too many.
+	// The filters may share keys, so the sum of their sizes would count these twice.
 	f.Size = max(f.Size, o.Size, set/probes)
 }
 
-// Add puts a key in.
+// Add adds a key.
 func (f *Filter) Add(key string) {
 	if f.Words == nil {
 		f.Words = make([]uint64, bits/wordBits)
@@ -91,7 +89,7 @@
 	}
 }
 
-// Has reports whether the key may have been put in; false is certain.
+// Has reports whether the key may have been added; false is certain.
 func (f *Filter) Has(key string) bool {
 	if f.Words == nil {
 		return false
@@ -107,12 +105,12 @@
 	return true
 }
 
-// Full reports whether the filter holds as many keys as it may.
+// Full reports whether the filter has reached its capacity.
 func (f *Filter) Full() bool { return f.Size >= Capacity }
 
-// probe derives all positions from one hash by double hashing.
+// probe returns the bit position of probe i, derived from one hash by double hashing.
 func probe(key string, i uint64) uint64 {
 	h := xxhash.Sum64String(key)
 
-	return ((h & (1<<half - 1)) + i*(h>>half|1)) % bits
+	return ((h & (1<<halfBits - 1)) + i*(h>>halfBits|1)) % bits
 }
--- a/internal/once/bloom/bloom_test.go
+++ b/internal/once/bloom/bloom_test.go
@@ -9,9 +9,9 @@
 	"github.com/pollencart/pollencart/internal/once/bloom"
 )
 
-// A key that was put in is always found, also in a copy and in a union; others
-// are taken for one in fewer than one in 200 cases when the filter is full.
-func TestAFilterNeverForgets(t *testing.T) {
+// Checks that added keys are always found, also in a copy and in a union, and that a full filter
+// has false positives for less than 1 in 200 other keys.
+func TestFilterHasNoFalseNegatives(t *testing.T) {
 	var a, b, none bloom.Filter
 
 	for i := range bloom.Capacity / 2 {
@@ -37,7 +37,7 @@
 		}
 	}
 
-	t.Logf("%d of %d other keys taken for dropped ones", wrong, others)
+	t.Logf("%d false positives in %d other keys", wrong, others)
 	assert.Assert(t, wrong < others/200)
 	assert.Assert(t, none.Size > bloom.Capacity*8/10 && none.Size <= bloom.Capacity, "%d", none.Size)
 }
