--- a/internal/frontend/options.go
+++ b/internal/frontend/options.go
@@ -96,7 +96,7 @@
 	}
 
 	if o.Home == nil {
-		o.Home = once.New(o.Node, key.NewLife(0))
+		o.Home = once.New(o.Node, key.NewBootID(0))
 	}
 
 	return o
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -17,7 +17,7 @@
 
 // once makes what keeps a call from running twice.
 func (n *Node) once() {
-	life := key.NewLife(n.table.Self().Incarnation)
+	life := key.NewBootID(n.table.Self().Incarnation)
 	self := shard.Self{Node: n.config.ID, Life: life, FailureDomain: n.config.FailureDomain}
 
 	n.shards = shard.New(self, n.store, n.table, n.client,
--- a/internal/once/cost_test.go
+++ b/internal/once/cost_test.go
@@ -27,7 +27,7 @@
 // Bounds the allocations per keyed call in the owner: the record, its goroutine with a context, the
 // digest and the channel of the waiting caller.
 func TestAllocationsPerKeyedCallAreBounded(t *testing.T) {
-	h := once.New("a", key.NewLife(1), once.WithTable(record.New(record.Records(1<<20))))
+	h := once.New("a", key.NewBootID(1), once.WithTable(record.New(record.Records(1<<20))))
 	n := 0
 
 	allocations := testing.AllocsPerRun(1000, func() {
@@ -42,7 +42,7 @@
 }
 
 func BenchmarkKeyedCall(b *testing.B) {
-	h := once.New("a", key.NewLife(1), once.WithTable(record.New(record.Records(1<<30))))
+	h := once.New("a", key.NewBootID(1), once.WithTable(record.New(record.Records(1<<30))))
 
 	b.ReportAllocs()
 
--- a/internal/once/guard_test.go
+++ b/internal/once/guard_test.go
@@ -46,7 +46,7 @@
 func (g *brokenGate) upload(t *testing.T) call.Ran {
 	t.Helper()
 
-	h := once.New("a", key.NewLife(1))
+	h := once.New("a", key.NewBootID(1))
 	peers := h.Guard(g)
 
 	_, err := h.Run(t.Context(), keyedCall(h, 1), func(ctx context.Context, c call.Call) (call.Answer, error) {
@@ -92,7 +92,7 @@
 func runCancelledKey(t *testing.T, send func(ctx context.Context, peers once.Peers, c call.Call) error) (*call.Refusal, time.Duration) {
 	t.Helper()
 
-	h := once.New("a", key.NewLife(1))
+	h := once.New("a", key.NewBootID(1))
 	peers := h.Guard(&brokenGate{failures: 1 << 20})
 
 	time.AfterFunc(time.Second, h.GiveUp)
--- a/internal/once/key/key.go
+++ b/internal/once/key/key.go
@@ -50,10 +50,10 @@
 	Token string
 }
 
-// NewLife returns a unique boot ID for a process. The incarnation alone is not unique, since it
+// NewBootID returns a unique boot ID for a process. The incarnation alone is not unique, since it
 // comes from a wall clock that can be set back; two processes with the same boot ID would both run
 // a key.
-func NewLife(incarnation uint64) string {
+func NewBootID(incarnation uint64) string {
 	var b [randomBytes]byte
 
 	_, _ = rand.Read(b[:]) // never fails
--- a/internal/once/key/key_test.go
+++ b/internal/once/key/key_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestKeyNamesItsOwner(t *testing.T) {
-	h := key.Home{Node: "nottm.a-1", Life: key.NewLife(7), Generation: 12}
+	h := key.Home{Node: "nottm.a-1", Life: key.NewBootID(7), Generation: 12}
 
 	k, named := key.Parse(h.Key("t0"))
 	assert.Assert(t, named)
@@ -29,6 +29,6 @@
 // After a host's clock was set back, a restarted process can get the incarnation of its
 // predecessor. With equal boot IDs it would accept the keys of the predecessor as its own.
 func TestBootIDsDifferForEqualIncarnations(t *testing.T) {
-	first, second := key.NewLife(7), key.NewLife(7)
+	first, second := key.NewBootID(7), key.NewBootID(7)
 	assert.Assert(t, first != second)
 }
--- a/internal/once/world_test.go
+++ b/internal/once/world_test.go
@@ -108,7 +108,7 @@
 	close(p.resumed)
 
 	p.table = record.New(record.Generations(3), record.Records(w.records))
-	name := key.NewLife(7) // the same incarnation for every boot, as after a clock was set back
+	name := key.NewBootID(7) // the same incarnation for every boot, as after a clock was set back
 	p.keeper = shard.New(shard.Self{Node: nodeID(i), Life: name, FailureDomain: domain(i)}, storeOf{p}, w, p,
 		shard.Domains(func() []string { return []string{domain(0), domain(1)} }), shard.Repeat(time.Hour))
 	p.home = once.New(nodeID(i), name, once.WithTable(p.table), once.WithShards(shardView{p}))
