--- a/internal/frontend/home_test.go
+++ b/internal/frontend/home_test.go
@@ -50,7 +50,7 @@
 	).Handler()
 
 	req := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/folders/1", nil)
-	req.Header.Set(frontend.HeaderKey, key.Home{Node: "b", Life: "life", Generation: 1}.Key("token"))
+	req.Header.Set(frontend.HeaderKey, key.Home{Node: "b", BootID: "life", Generation: 1}.Key("token"))
 
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, req)
@@ -98,7 +98,7 @@
 		).Handler()
 
 		req := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/folders/1", nil)
-		req.Header.Set(frontend.HeaderKey, key.Home{Node: "b", Life: "life", Generation: 1}.Key("token"))
+		req.Header.Set(frontend.HeaderKey, key.Home{Node: "b", BootID: "life", Generation: 1}.Key("token"))
 
 		w := httptest.NewRecorder()
 		start := time.Now()
--- a/internal/frontend/once.go
+++ b/internal/frontend/once.go
@@ -119,7 +119,7 @@
 // goes to that life or to nobody.
 func (e *Entry) homeOf(c call.Call) (node, life string, err error) {
 	if k, named := key.Parse(c.Key); named {
-		return k.Home.Node, k.Home.Life, nil
+		return k.Home.Node, k.Home.BootID, nil
 	}
 
 	node, life, ok := e.options.Shards.Owner(c.Key)
--- a/internal/once/key/key.go
+++ b/internal/once/key/key.go
@@ -40,7 +40,7 @@
 // Home names an owner process and a generation of its records.
 type Home struct {
 	Node       string
-	Life       string
+	BootID     string
 	Generation uint64
 }
 
@@ -63,7 +63,7 @@
 
 // String returns the name in the form that the header carries.
 func (h Home) String() string {
-	return prefix + h.Node + "." + h.Life + "." + strconv.FormatUint(h.Generation, 10)
+	return prefix + h.Node + "." + h.BootID + "." + strconv.FormatUint(h.Generation, 10)
 }
 
 // Key returns the key made of the name and a caller's token.
@@ -106,7 +106,7 @@
 		return Key{}, false
 	}
 
-	return Key{Home: Home{Node: node, Life: life, Generation: generation}, Token: token}, true
+	return Key{Home: Home{Node: node, BootID: life, Generation: generation}, Token: token}, true
 }
 
 func cutLast(s string) (before, after string, ok bool) {
--- a/internal/once/key/key_test.go
+++ b/internal/once/key/key_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestKeyNamesItsOwner(t *testing.T) {
-	h := key.Home{Node: "nottm.a-1", Life: key.NewBootID(7), Generation: 12}
+	h := key.Home{Node: "nottm.a-1", BootID: key.NewBootID(7), Generation: 12}
 
 	k, named := key.Parse(h.Key("t0"))
 	assert.Assert(t, named)
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -76,7 +76,7 @@
 
 // Name returns the prefix that callers put before their own tokens to form a key.
 func (h *Home) Name() key.Home {
-	return key.Home{Node: h.node, Life: h.bootID, Generation: h.table.Generation()}
+	return key.Home{Node: h.node, BootID: h.bootID, Generation: h.table.Generation()}
 }
 
 // Life returns the boot ID of the process.
@@ -156,8 +156,8 @@
 		return h.opaqueRecordKey(c)
 	}
 
-	if k.Home.Node != h.node || k.Home.Life != h.bootID {
-		return record.Key{}, ErrHomeGone.With("%s.%s", k.Home.Node, k.Home.Life)
+	if k.Home.Node != h.node || k.Home.BootID != h.bootID {
+		return record.Key{}, ErrHomeGone.With("%s.%s", k.Home.Node, k.Home.BootID)
 	}
 
 	return record.Key{ID: c.Key, Generation: k.Home.Generation}, nil
