--- a/internal/once/shard/keeper.go
+++ b/internal/once/shard/keeper.go
@@ -79,7 +79,7 @@
 
 	s, _, ok := k.list.Of(text)
 
-	return s.Node, s.Life, ok && s.Node != ""
+	return s.Node, s.BootID, ok && s.Node != ""
 }
 
 // Own describes what this process may do with an opaque key.
@@ -216,7 +216,7 @@
 	owned := map[int]time.Time{}
 
 	for i, s := range l.Shards {
-		if s.Node != k.self.Node || s.Life != k.self.Life {
+		if s.Node != k.self.Node || s.BootID != k.self.Life {
 			continue
 		}
 
--- a/internal/once/shard/list.go
+++ b/internal/once/shard/list.go
@@ -47,8 +47,8 @@
 type Shard struct {
 	FailureDomain string `json:"FailureDomain" msgpack:"FailureDomain"`
 	// Node and its boot ID identify the owner; both are empty for a vacant shard.
-	Node string `json:"Node,omitempty" msgpack:"Node,omitempty"`
-	Life string `json:"Life,omitempty" msgpack:"Life,omitempty"`
+	Node   string `json:"Node,omitempty" msgpack:"Node,omitempty"`
+	BootID string `json:"Life,omitempty" msgpack:"Life,omitempty"`
 	// RecordsLost is set if an earlier owner may have run keys whose records were not handed over.
 	RecordsLost bool `json:"Before,omitempty" msgpack:"Before,omitempty"`
 	// FromBootID is the boot ID of the draining process that handed over its records.
@@ -118,11 +118,11 @@
 // node.
 func (l List) Claim(self Self, nodes []string) (List, bool) {
 	return l.change(func(i int, s Shard) Shard {
-		mine := s.Node == self.Node && s.Life != self.Life
+		mine := s.Node == self.Node && s.BootID != self.Life
 		vacant := s.Node == "" && s.FailureDomain == self.FailureDomain && preferredNode(i, nodes) == self.Node
 
 		if mine || vacant {
-			return Shard{FailureDomain: s.FailureDomain, Node: self.Node, Life: self.Life, RecordsLost: s.RecordsLost || mine}
+			return Shard{FailureDomain: s.FailureDomain, Node: self.Node, BootID: self.Life, RecordsLost: s.RecordsLost || mine}
 		}
 
 		return s
@@ -145,11 +145,11 @@
 func (l List) Transfer(from Self, successors map[int]Self) (List, bool) {
 	return l.change(func(i int, s Shard) Shard {
 		successor, ok := successors[i]
-		if !ok || s.Node != from.Node || s.Life != from.Life {
+		if !ok || s.Node != from.Node || s.BootID != from.Life {
 			return s
 		}
 
-		return Shard{FailureDomain: s.FailureDomain, Node: successor.Node, Life: successor.Life, FromBootID: from.Life}
+		return Shard{FailureDomain: s.FailureDomain, Node: successor.Node, BootID: successor.Life, FromBootID: from.Life}
 	})
 }
 
--- a/internal/once/shard/list_test.go
+++ b/internal/once/shard/list_test.go
@@ -37,7 +37,7 @@
 
 	next, ok := l.Claim(a2, []string{"a"})
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, next.Shards[0], shard.Shard{FailureDomain: "derby", Node: "a", Life: "2", RecordsLost: true})
+	assert.DeepEqual(t, next.Shards[0], shard.Shard{FailureDomain: "derby", Node: "a", BootID: "2", RecordsLost: true})
 }
 
 // An earlier owner may have run keys of a shard. The list keeps this fact across changes of owner
@@ -54,7 +54,7 @@
 
 	given, ok := l.Transfer(b1, map[int]shard.Self{0: a2})
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, given.Shards[0], shard.Shard{FailureDomain: "derby", Node: "a", Life: "2", FromBootID: "1"})
+	assert.DeepEqual(t, given.Shards[0], shard.Shard{FailureDomain: "derby", Node: "a", BootID: "2", FromBootID: "1"})
 	assert.Equal(t, given.Shards[1], l.Shards[1])
 
 	_, ok = given.Transfer(b1, map[int]shard.Self{0: b1})
@@ -69,7 +69,7 @@
 	assert.Equal(t, len(l.Shards), 14*shard.PerDomain)
 
 	for i := range l.Shards {
-		l.Shards[i].Node, l.Shards[i].Life = "nottm-a-browse-1234", "mjf2k0x1-9f8e7d6c5b4a3021"
+		l.Shards[i].Node, l.Shards[i].BootID = "nottm-a-browse-1234", "mjf2k0x1-9f8e7d6c5b4a3021"
 	}
 
 	l.Number = 1
