--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -18,7 +18,7 @@
 // once makes what keeps a call from running twice.
 func (n *Node) once() {
 	life := key.NewBootID(n.table.Self().Incarnation)
-	self := shard.Self{Node: n.config.ID, Life: life, FailureDomain: n.config.FailureDomain}
+	self := shard.Self{Node: n.config.ID, BootID: life, FailureDomain: n.config.FailureDomain}
 
 	n.shards = shard.New(self, n.store, n.table, n.client,
 		shard.Recorder(n.recorder), shard.Watching(n.watching), shard.Domains(n.domains))
--- a/internal/once/handover.go
+++ b/internal/once/handover.go
@@ -110,7 +110,7 @@
 		}
 
 		if part.Last {
-			return shard.Self{Node: out.Node, Life: out.Life, FailureDomain: successor.FailureDomain}, true
+			return shard.Self{Node: out.Node, BootID: out.Life, FailureDomain: successor.FailureDomain}, true
 		}
 
 		part.Filter = bloom.Filter{}
--- a/internal/once/shard/keeper.go
+++ b/internal/once/shard/keeper.go
@@ -216,7 +216,7 @@
 	owned := map[int]time.Time{}
 
 	for i, s := range l.Shards {
-		if s.Node != k.self.Node || s.BootID != k.self.Life {
+		if s.Node != k.self.Node || s.BootID != k.self.BootID {
 			continue
 		}
 
--- a/internal/once/shard/list.go
+++ b/internal/once/shard/list.go
@@ -109,7 +109,7 @@
 // Self identifies a process that claims shards.
 type Self struct {
 	Node          string
-	Life          string
+	BootID        string
 	FailureDomain string
 }
 
@@ -118,11 +118,11 @@
 // node.
 func (l List) Claim(self Self, nodes []string) (List, bool) {
 	return l.change(func(i int, s Shard) Shard {
-		mine := s.Node == self.Node && s.BootID != self.Life
+		mine := s.Node == self.Node && s.BootID != self.BootID
 		vacant := s.Node == "" && s.FailureDomain == self.FailureDomain && preferredNode(i, nodes) == self.Node
 
 		if mine || vacant {
-			return Shard{FailureDomain: s.FailureDomain, Node: self.Node, BootID: self.Life, RecordsLost: s.RecordsLost || mine}
+			return Shard{FailureDomain: s.FailureDomain, Node: self.Node, BootID: self.BootID, RecordsLost: s.RecordsLost || mine}
 		}
 
 		return s
@@ -145,11 +145,11 @@
 func (l List) Transfer(from Self, successors map[int]Self) (List, bool) {
 	return l.change(func(i int, s Shard) Shard {
 		successor, ok := successors[i]
-		if !ok || s.Node != from.Node || s.BootID != from.Life {
+		if !ok || s.Node != from.Node || s.BootID != from.BootID {
 			return s
 		}
 
-		return Shard{FailureDomain: s.FailureDomain, Node: successor.Node, BootID: successor.Life, FromBootID: from.Life}
+		return Shard{FailureDomain: s.FailureDomain, Node: successor.Node, BootID: successor.BootID, FromBootID: from.BootID}
 	})
 }
 
--- a/internal/once/shard/list_test.go
+++ b/internal/once/shard/list_test.go
@@ -10,9 +10,9 @@
 )
 
 var (
-	a1 = shard.Self{Node: "a", Life: "1", FailureDomain: "derby"}
-	a2 = shard.Self{Node: "a", Life: "2", FailureDomain: "derby"}
-	b1 = shard.Self{Node: "b", Life: "1", FailureDomain: "derby"}
+	a1 = shard.Self{Node: "a", BootID: "1", FailureDomain: "derby"}
+	a2 = shard.Self{Node: "a", BootID: "2", FailureDomain: "derby"}
+	b1 = shard.Self{Node: "b", BootID: "1", FailureDomain: "derby"}
 )
 
 func claimed(t *testing.T) shard.List {
--- a/internal/once/world_test.go
+++ b/internal/once/world_test.go
@@ -109,7 +109,7 @@
 
 	p.table = record.New(record.Generations(3), record.Records(w.records))
 	name := key.NewBootID(7) // the same incarnation for every boot, as after a clock was set back
-	p.keeper = shard.New(shard.Self{Node: nodeID(i), Life: name, FailureDomain: domain(i)}, storeOf{p}, w, p,
+	p.keeper = shard.New(shard.Self{Node: nodeID(i), BootID: name, FailureDomain: domain(i)}, storeOf{p}, w, p,
 		shard.Domains(func() []string { return []string{domain(0), domain(1)} }), shard.Repeat(time.Hour))
 	p.home = once.New(nodeID(i), name, once.WithTable(p.table), once.WithShards(shardView{p}))
 	p.register = attempt.NewRegister(name, 64)
