--- a/internal/once/handover.go
+++ b/internal/once/handover.go
@@ -28,8 +28,8 @@
 
 // Adopted is the reply of the successor.
 type Adopted struct {
-	Node string `msgpack:"Node"`
-	Life string `msgpack:"Life"`
+	Node   string `msgpack:"Node"`
+	BootID string `msgpack:"Life"`
 }
 
 // ShardKeeper is the part of shard.Keeper that a handover needs.
@@ -110,7 +110,7 @@
 		}
 
 		if part.Last {
-			return shard.Self{Node: out.Node, BootID: out.Life, FailureDomain: successor.FailureDomain}, true
+			return shard.Self{Node: out.Node, BootID: out.BootID, FailureDomain: successor.FailureDomain}, true
 		}
 
 		part.Filter = bloom.Filter{}
@@ -154,6 +154,6 @@
 			k.Adopt(in.Shard, in.From, in.Wait)
 		}
 
-		return Adopted{Node: h.node, Life: h.bootID}, nil
+		return Adopted{Node: h.node, BootID: h.bootID}, nil
 	}
 }
