--- a/internal/once/caller_test.go
+++ b/internal/once/caller_test.go
@@ -42,7 +42,7 @@
 	}
 
 	if p.w.mutant.noBootID && parts[1] == nodeID(p.index) {
-		parts[bootID] = p.home.Life()
+		parts[bootID] = p.home.BootID()
 	}
 
 	return strings.Join(parts, ".")
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -79,8 +79,8 @@
 	return key.Home{Node: h.node, BootID: h.bootID, Generation: h.table.Generation()}
 }
 
-// Life returns the boot ID of the process.
-func (h *Home) Life() string { return h.bootID }
+// BootID returns the boot ID of the process.
+func (h *Home) BootID() string { return h.bootID }
 
 // Mint returns a new key of this process for a call that has none.
 func (h *Home) Mint() string { return h.Name().Key(ulid.Make().String()) }
--- a/internal/once/world_test.go
+++ b/internal/once/world_test.go
@@ -156,7 +156,7 @@
 	for _, r := range b.w.Serving("") {
 		for i := range nodes {
 			if r.ID == nodeID(i) {
-				return r.ID, b.w.proc(i).home.Life(), true
+				return r.ID, b.w.proc(i).home.BootID(), true
 			}
 		}
 	}
