--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -141,7 +141,7 @@
 // abandon ends calls that have not ended: their callers still wait for an answer. The keys end
 // first, since only their home can say that they did not run.
 func (n *Node) abandon(ctx context.Context) {
-	n.home.GiveUp()
+	n.home.CancelRuns()
 
 	keys, cancel := context.WithTimeout(ctx, keysTime)
 	defer cancel()
--- a/internal/once/guard_test.go
+++ b/internal/once/guard_test.go
@@ -95,7 +95,7 @@
 	h := once.New("a", key.NewBootID(1))
 	peers := h.Guard(&brokenGate{failures: 1 << 20})
 
-	time.AfterFunc(time.Second, h.GiveUp)
+	time.AfterFunc(time.Second, h.CancelRuns)
 
 	start := time.Now()
 	_, err := h.Run(t.Context(), keyedCall(h, 1), func(ctx context.Context, c call.Call) (call.Answer, error) {
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -92,8 +92,8 @@
 // still get their outcome.
 func (h *Home) Close() { h.closed.Store(true) }
 
-// GiveUp cancels the runs of all keys, so that waiting callers get the outcome known so far.
-func (h *Home) GiveUp() { h.cancelRuns() }
+// CancelRuns cancels the runs of all keys, so that waiting callers get the outcome known so far.
+func (h *Home) CancelRuns() { h.cancelRuns() }
 
 // Size returns the number of records and the total size of their answers in bytes.
 func (h *Home) Size() (records, bytes int) { return h.table.Size() }
