--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -172,7 +172,7 @@
 		return record.Key{}, ErrLeaving.With("%s", h.node)
 	}
 
-	if !own.Mine || c.Life != h.bootID {
+	if !own.Owned || c.Life != h.bootID {
 		return record.Key{}, ErrNotHome.With("%s", h.node)
 	}
 
--- a/internal/once/shard/keeper.go
+++ b/internal/once/shard/keeper.go
@@ -84,8 +84,8 @@
 
 // Own describes what this process may do with an opaque key.
 type Own struct {
-	// Mine is set if this process owns the key's shard.
-	Mine bool
+	// Owned is set if this process owns the key's shard.
+	Owned bool
 	// Wait is the remaining time in which keys without a record end as unknown.
 	Wait time.Duration
 	// Leaving is set while this process hands its shards over.
@@ -104,7 +104,7 @@
 		return Own{Leaving: k.stopped}
 	}
 
-	return Own{Mine: true, Wait: k.unknownFor(i)}
+	return Own{Owned: true, Wait: k.unknownFor(i)}
 }
 
 // List returns the current list.
--- a/internal/once/world_test.go
+++ b/internal/once/world_test.go
@@ -166,7 +166,7 @@
 
 func (b shardView) Own(text string) shard.Own {
 	if b.w.mutant.ownerByMembership {
-		return shard.Own{Mine: true}
+		return shard.Own{Owned: true}
 	}
 
 	own := b.keeper.Own(text)
