--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -168,7 +168,7 @@
 // here after the time in which unseen keys are rejected.
 func (h *Home) opaqueRecordKey(c call.Call) (record.Key, error) {
 	own := h.options.Shards.Own(c.Key)
-	if own.Leaving {
+	if own.Draining {
 		return record.Key{}, ErrLeaving.With("%s", h.node)
 	}
 
--- a/internal/once/shard/keeper.go
+++ b/internal/once/shard/keeper.go
@@ -88,8 +88,8 @@
 	Owned bool
 	// Wait is the remaining time in which keys without a record end as unknown.
 	Wait time.Duration
-	// Leaving is set while this process hands its shards over.
-	Leaving bool
+	// Draining is set while this process hands its shards over.
+	Draining bool
 }
 
 // Own returns what this process may do with a key.
@@ -101,7 +101,7 @@
 	_, owned := k.owned[i]
 
 	if !ok || !owned || k.stopped {
-		return Own{Leaving: k.stopped}
+		return Own{Draining: k.stopped}
 	}
 
 	return Own{Owned: true, Wait: k.unknownFor(i)}
