--- a/internal/once/key/key.go
+++ b/internal/once/key/key.go
@@ -101,12 +101,12 @@
 		return Key{}, false
 	}
 
-	node, life, ok := cutLast(rest)
-	if !ok || node == "" || life == "" {
+	node, bootID, ok := cutLast(rest)
+	if !ok || node == "" || bootID == "" {
 		return Key{}, false
 	}
 
-	return Key{Home: Home{Node: node, BootID: life, Generation: generation}, Token: token}, true
+	return Key{Home: Home{Node: node, BootID: bootID, Generation: generation}, Token: token}, true
 }
 
 func cutLast(s string) (before, after string, ok bool) {
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -8,7 +8,7 @@
 // process terminates, its records are lost and its keys end as unknown. The error texts and the
 // header Pollencart-Home call the owner the "home" of the key.
 //
-//	h := once.New("nottm-a-browse-1", key.NewLife(incarnation), once.WithShards(keeper))
+//	h := once.New("nottm-a-browse-1", key.NewBootID(incarnation), once.WithShards(keeper))
 //	answer, err := h.Run(ctx, c, run) // run sends attempts through h.Guard(peers)
 //
 // The record of a key ends in one of three outcomes, which only the owner decides:
@@ -64,7 +64,7 @@
 	cancelRuns context.CancelFunc
 }
 
-// New returns the Home of a node process; key.NewLife creates its boot ID.
+// New returns the Home of a node process; key.NewBootID creates its boot ID.
 func New(node, bootID string, opts ...Option) *Home {
 	o := newOptions(opts...)
 
