--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,30 +1,32 @@
-// Package balancer decides to which node a call goes.
+// Package balancer selects the node that runs a call.
 //
-// # The load it answers
+// # Load
 //
-// Backend servers that differ in speed by three times, are busy, slow, cold, or
-// fail in part, in failure domains between which each byte is dear.
+// Backend servers differ in speed by up to three times and can be busy, slow, cold or
+// failing in part. Traffic between failure domains is expensive per byte.
 //
-//   - The own failure domain first, since what crosses is dear. A call goes to the
-//     cheapest node elsewhere if it gains more by that than its bytes cost: a small one to
-//     be on time a little more often, one with a large answer only if it would hardly be
-//     at home. With the mean alone, whatever the size, small calls stay at a slow backend
-//     server where one in five is late or given up.
-//   - Of the nodes of a tier two are drawn, by how much their backend servers can do,
-//     and the better is taken. With a choice among all every node runs after the one
-//     that looked best a moment ago, which then has several times the mean.
-//   - The expected end is what this node has seen itself: how long calls of the
-//     route took there, and the wait that was reported with the last reply, which
-//     fades as it is worked off. Calls of this node that are on their way count.
-//   - A node whose last calls failed looks longer by what a failure costs, and one
-//     that could not be reached is left alone for a while that grows. Without it
-//     calls wait on a dead route again and again.
-//   - A node that this one never used gets a call now and then, or a new backend
-//     server elsewhere would stay idle.
+//   - Cross-domain cost: calls stay in the own failure domain unless a node in another
+//     one reduces the expected loss of the call by more than its bytes cost. A call with
+//     a small answer crosses for a slightly better chance to meet its target, one with a
+//     large answer only if it would hardly meet it in the own domain. Comparing mean
+//     service times regardless of size keeps small calls at a slow backend server,
+//     where one in five is late or abandoned.
+//   - Power of two choices: two nodes of each tier are sampled, weighted by the capacity
+//     of their backend servers, and the cheaper one is used. If every node chose among
+//     all candidates, all would pick the one that looked best most recently and load it
+//     with several times the mean.
+//   - Expected completion time: it is computed from the service times that this node has
+//     observed per route, the wait reported with the node's last reply, less the time
+//     since that reply, and the calls that this node has in flight there.
+//   - Failures: failed calls add a penalty to a node's cost, and an unreachable node
+//     is avoided with exponential backoff. Otherwise calls would repeatedly wait on a
+//     dead route.
+//   - Exploration: a node that this one has never used gets an occasional call.
+//     Otherwise a new backend server in another failure domain would stay idle.
 //
 // # Usage
 //
-//	p := balancer.New("derby")
+//	p := balancer.New()
 //	c, ok := p.Pick(candidates, balancer.Need{Route: "search", Target: 150 * time.Millisecond})
 //	a := p.Start(c.ID, "search")
 //	a.End(balancer.Answered, reply)
@@ -40,116 +42,115 @@
 )
 
 const (
-	// behind is how many calls are delayed by one that waits: itself and the one behind
-	// it, as a queue at a busy backend server hardly ever runs empty. With the own wait
-	// alone all run after the fastest ones until their queues make them as slow as the
-	// slowest (TestCallsFindFreeSlots).
-	behind = 2
-	// tollPerByte is what a byte between failure domains costs, as a part of what a call is
-	// worth: 0.04 for a kilobyte. A call that is half lost when late crosses with an
-	// answer of 1.5 kB if that makes it on time in one case of six more.
-	tollPerByte = 0.04 / 1024
-	// frameBytes is what both ways of a call need beside its bodies: 190 bytes each, and
-	// 40 for the headers of a packet.
-	frameBytes = 460
-	// lateLoss is the part of a call that is lost by being late.
+	// queueWaitFactor counts the wait twice: queueing delays the call and the one
+	// queued after it, as the queue of a busy backend server is rarely empty. Counting
+	// only the call's own wait overloads the fastest backend servers until they are as
+	// slow as the slowest (TestCallsFindFreeSlots).
+	queueWaitFactor = 2
+	// crossingCostPerByte is the cost of a byte between failure domains as a fraction
+	// of a call's value: 0.04 per kilobyte. A call that loses half its value when late
+	// crosses with an answer of 1.5 kB if that raises its chance to be on time by one in six.
+	crossingCostPerByte = 0.04 / 1024
+	// callOverheadBytes is sent for a call and its reply beside their bodies: 190 bytes
+	// each, and 40 for packet headers.
+	callOverheadBytes = 460
+	// lateLoss is the fraction of a call's value that is lost past its target.
 	lateLoss = 0.5
-	// deviations is the standard deviation of calls over their mean deviation: of a bell,
-	// 1.25.
-	deviations = 1.25
-	// way is there and back to another failure domain.
-	way = 2 * time.Millisecond
-	// unknownSize is taken for a route that was never seen at a node.
-	unknownSize = 50 * time.Millisecond
-	// smoothing of times and failures; about as many calls have a say.
+	// stdPerMeanDeviation is the ratio of standard to mean absolute deviation of a
+	// normal distribution, 1.25.
+	stdPerMeanDeviation = 1.25
+	// crossDomainRTT is the round-trip time to another failure domain.
+	crossDomainRTT = 2 * time.Millisecond
+	// defaultServiceTime is assumed for a route without samples.
+	defaultServiceTime = 50 * time.Millisecond
+	// smoothing is the window of the moving averages, in calls.
 	smoothing = 8
-	// clip bounds what one call can say, times the present value.
-	clip = 4
-	// failureCost is how much longer a node looks that fails all of its calls, as a
+	// maxSampleRatio clips a sample to a multiple of the current average.
+	maxSampleRatio = 4
+	// failurePenalty is added to the cost of a node that fails all of its calls, as a
 	// multiple of the time until the target.
-	failureCost = 2.0
-	// firstAvoid and longestAvoid are how long a node is left alone that could not
-	// be reached; each failure in a row doubles it. A node that restarts is back
-	// within about a second.
-	firstAvoid   = 200 * time.Millisecond
-	longestAvoid = 2 * time.Second
-	// tryNew is of how many calls one goes to a node that was never used.
-	tryNew = 8
-	// tryAgain is of how many calls one goes to a node that fails, to see it mend.
-	tryAgain = 30
-	// failing is the part of failed calls from which a node counts as failing. Below,
-	// it costs nothing; with a cost but no new tries it would never be seen to mend.
+	failurePenalty = 2.0
+	// initialBackoff and maxBackoff bound how long an unreachable node is avoided; each
+	// consecutive failure doubles the time. A restarting node is back within about a second.
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	// unusedProbeOdds sends one of this many calls to a node that was never used.
+	unusedProbeOdds = 8
+	// failingProbeOdds sends one of this many calls to a failing node, to detect its recovery.
+	failingProbeOdds = 30
+	// failing is the failure rate from which a node counts as failing. A lower rate has
+	// no penalty: a node with a penalty but without probes would not be seen to recover.
 	failing = 0.05
-	// forgive is how fast failures lose their say when no newer ones come.
-	forgive = 4 * time.Second
-	// fade is how fast a reported wait loses its say when nothing newer comes.
-	fade = 500 * time.Millisecond
+	// failureDecay is the time constant with which a failure rate decays without new failures.
+	failureDecay = 4 * time.Second
+	// reportTTL is how long a reported wait is used.
+	reportTTL = 500 * time.Millisecond
 )
 
-// Candidate is a node beside a backend server of the wanted service.
+// Candidate is a node on the host of a backend server of the requested service.
 type Candidate struct {
 	ID      string
 	Address string
-	// Near says that it is in the own failure domain.
+	// Near is set for a node in the own failure domain.
 	Near bool
-	// Own says that it is this node.
+	// Own is set for this node.
 	Own   bool
 	Slots int
 }
 
-// Need is what a call wants.
+// Need describes the call to place.
 type Need struct {
 	Route string
 	Rank  int
-	// Target is the time until the answer is worth less, Deadline until it is worth
-	// nothing.
+	// Target is the time left until the answer is late, Deadline until it is worthless.
 	Target, Deadline time.Duration
-	// Bytes of the call's body.
+	// Bytes is the size of the call's body.
 	Bytes int
-	// Idempotent calls may find out whether a failing node has mended.
+	// Idempotent calls may probe a failing node.
 	Idempotent bool
-	// Tried are nodes that this call was at.
+	// Tried holds the IDs of nodes that were already attempted for this call.
 	Tried []string
 }
 
-// Result is what came of a call at a node.
+// Result is the result of an attempt at a node.
 type Result uint8
 
 // The results.
 const (
 	// Answered means that the backend server answered.
 	Answered Result = iota
-	// Busy means that the node turned the call away.
+	// Busy means that the node rejected the call.
 	Busy
 	// Failed means that the backend server failed the call or lost it.
 	Failed
 	// Unreached means that the node or its backend server could not be reached.
 	Unreached
-	// Abandoned tells nothing: the caller went away or its time was up.
+	// Abandoned means that the caller canceled the call or its deadline passed; the
+	// attempt says nothing about the node.
 	Abandoned
 )
 
-// Placer knows what this node has seen of others.
+// Placer selects nodes by what this node has observed of them.
 type Placer struct {
-	mu    sync.Mutex
-	nodes map[string]*node
-	sizes map[string]*size
+	mu     sync.Mutex
+	nodes  map[string]*node
+	routes map[string]*routeStats
 }
 
-// New returns a placer that has seen nothing.
+// New returns a placer without observations.
 func New() *Placer {
-	return &Placer{nodes: map[string]*node{}, sizes: map[string]*size{}}
+	return &Placer{nodes: map[string]*node{}, routes: map[string]*routeStats{}}
 }
 
-// Pick returns the node that the call goes to, or false if there is none.
+// Pick returns the node to send the call to, or false if there is none.
 func (p *Placer) Pick(candidates []Candidate, n Need) (Candidate, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	now := time.Now()
-	var near, far reservoir.Two[drawn]
+	var near, far reservoir.Two[sampled]
 
-	spare := choice{}
+	spare := cheapest{}
 
 	for i := range candidates {
 		c := &candidates[i]
@@ -158,13 +159,13 @@
 		}
 
 		m := p.node(c.ID)
-		if now.Before(m.avoid) {
-			spare.weigh(c, m.pause, m.pause <= firstAvoid)
+		if now.Before(m.avoidUntil) {
+			spare.consider(c, m.backoff, m.backoff <= initialBackoff)
 
 			continue
 		}
 
-		if p.worthATry(m, n, now) {
+		if p.shouldProbe(m, n, now) {
 			return *c, true
 		}
 
@@ -173,44 +174,45 @@
 			tier = &near
 		}
 
-		tier.Add(drawn{c, m}, rand.ExpFloat64()*m.speed/float64(max(c.Slots, 1)))
+		tier.Add(sampled{c, m}, rand.ExpFloat64()*m.slowdown/float64(max(c.Slots, 1)))
 	}
 
-	if c, ok := p.decide(p.better(near, n, now), p.better(far, n, now), n); ok {
+	if c, ok := p.chooseDomain(p.cheaper(near, n, now), p.cheaper(far, n, now), n); ok {
 		return c, true
 	}
 
-	// One failure may have been a broken connection; more are a dead route.
+	// A single failure may be a broken connection, so such a node is the last resort;
+	// after several failures the route is considered dead.
 	return spare.get()
 }
 
-// drawn is a candidate that was drawn, with what is known of it.
-type drawn struct {
+// sampled is a sampled candidate with its observed state.
+type sampled struct {
 	candidate *Candidate
 	node      *node
 }
 
-// better returns the cheaper of the two that were drawn.
-func (p *Placer) better(d reservoir.Two[drawn], n Need, now time.Time) choice {
-	var out choice
+// cheaper returns the candidate with the lower cost of the two that were sampled.
+func (p *Placer) cheaper(d reservoir.Two[sampled], n Need, now time.Time) cheapest {
+	var out cheapest
 
 	both, count := d.Both()
 
 	for _, x := range both[:count] {
-		cost := p.expected(x.node, x.candidate, n, now) + time.Duration(x.node.failing(now)*failureCost*float64(n.Target))
+		cost := p.expected(x.node, x.candidate, n, now) + time.Duration(x.node.failing(now)*failurePenalty*float64(n.Target))
 		if !x.candidate.Near {
-			cost += way
+			cost += crossDomainRTT
 		}
 
-		out.weigh(x.candidate, cost, true)
+		out.consider(x.candidate, cost, true)
 	}
 
 	return out
 }
 
-// decide takes the node of the other failure domain if what the caller stands to lose at
-// the near one is more than the crossing costs.
-func (p *Placer) decide(near, far choice, n Need) (Candidate, bool) {
+// chooseDomain returns the candidate of another failure domain if it reduces the
+// expected loss by more than the crossing costs.
+func (p *Placer) chooseDomain(near, far cheapest, n Need) (Candidate, bool) {
 	switch {
 	case near.candidate == nil:
 		return far.get()
@@ -218,27 +220,27 @@
 		return near.get()
 	}
 
-	s := p.size(n.Route)
-	if s.loss(near.cost, n)-s.loss(far.cost, n) <= s.toll(n) {
+	s := p.routeStats(n.Route)
+	if s.expectedLoss(near.cost, n)-s.expectedLoss(far.cost, n) <= s.crossingCost(n) {
 		return near.get()
 	}
 
 	return far.get()
 }
 
-// choice is the cheapest candidate so far.
-type choice struct {
+// cheapest is the candidate with the lowest cost so far.
+type cheapest struct {
 	candidate *Candidate
 	cost      time.Duration
 }
 
-func (c *choice) weigh(o *Candidate, cost time.Duration, takes bool) {
-	if takes && (c.candidate == nil || cost < c.cost) {
+func (c *cheapest) consider(o *Candidate, cost time.Duration, eligible bool) {
+	if eligible && (c.candidate == nil || cost < c.cost) {
 		c.candidate, c.cost = o, cost
 	}
 }
 
-func (c *choice) get() (Candidate, bool) {
+func (c *cheapest) get() (Candidate, bool) {
 	if c.candidate == nil {
 		return Candidate{}, false
 	}
@@ -246,7 +248,7 @@
 	return *c.candidate, true
 }
 
-// Start notes a call to a node.
+// Start records that a call is sent to a node.
 func (p *Placer) Start(id, route string) Attempt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -29,9 +29,9 @@
 	return balancer.Need{Route: "search", Target: 150 * ms, Deadline: 400 * ms, Idempotent: true}
 }
 
-// run sends calls one after the other; held says how long a node takes, or that it
-// fails. It returns how many each node got.
-func run(p *balancer.Placer, c []balancer.Candidate, calls int, held func(id string) (balancer.Result, time.Duration)) map[string]int {
+// run sends calls sequentially; handle returns a node's result and service time. It
+// returns the number of calls per node.
+func run(p *balancer.Placer, c []balancer.Candidate, calls int, handle func(id string) (balancer.Result, time.Duration)) map[string]int {
 	got := map[string]int{}
 
 	for range calls {
@@ -43,7 +43,7 @@
 		got[chosen.ID]++
 
 		a := p.Start(chosen.ID, "search")
-		result, took := held(chosen.ID)
+		result, took := handle(chosen.ID)
 
 		time.Sleep(took)
 		a.End(result, forward.Reply{HeldMs: took.Milliseconds(), Load: forward.Load{Slots: 9}})
@@ -52,28 +52,28 @@
 	return got
 }
 
-func well(string) (balancer.Result, time.Duration) { return balancer.Answered, 48 * ms }
+func healthy(string) (balancer.Result, time.Duration) { return balancer.Answered, 48 * ms }
 
-// Bytes between failure domains cost more than anything else. While the own failure
-// domain is on time, only first tries of nodes that were never used cross.
-func TestTheOwnFailureDomainFirst(t *testing.T) {
+// Traffic between failure domains is the most expensive resource. While the own failure
+// domain answers within the target, only probes of unused nodes leave it.
+func TestOwnFailureDomainIsPreferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := balancer.New()
 		c := nodes(1, 3)
-		run(p, c, 100, well)
+		run(p, c, 100, healthy)
 
-		got := run(p, c, 1000, well)
+		got := run(p, c, 1000, healthy)
 		assert.Equal(t, got["n0"], 1000)
 	})
 }
 
-// The near backend server is busy: what it reports is longer than callers can wait.
-// Calls go elsewhere until the report is old.
-func TestABusyNearNodeSpills(t *testing.T) {
+// The backend server of the same failure domain is busy: it reports a wait longer than
+// callers can wait. Calls go to another failure domain until the report expires.
+func TestBusyNearNodeOverflowsToOtherDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := balancer.New()
 		c := nodes(1, 3)
-		run(p, c, 200, well)
+		run(p, c, 200, healthy)
 
 		a := p.Start("n0", "search")
 		a.End(balancer.Busy, forward.Reply{Load: forward.Load{Slots: 9, WaitsMs: [forward.Ranks]int64{300, 300, 300}}})
@@ -89,43 +89,43 @@
 	})
 }
 
-// A backend server fails half of its calls while its health is good. Its calls go
-// elsewhere, and some still reach it, so that it is seen to mend.
-func TestAFailingNodeIsLeft(t *testing.T) {
+// A backend server fails half of its calls while its health checks pass. Its calls go
+// to other nodes, and a few probes still reach it, so that its recovery is detected.
+func TestFailingNodeGetsOnlyProbesUntilItRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := balancer.New()
 		c := nodes(2, 2)
-		run(p, c, 200, well)
+		run(p, c, 200, healthy)
 
 		calls := 0
-		grey := func(id string) (balancer.Result, time.Duration) {
+		partiallyFailing := func(id string) (balancer.Result, time.Duration) {
 			if id == "n0" {
 				if calls++; calls%2 == 0 {
 					return balancer.Failed, 10 * ms
 				}
 			}
 
-			return well(id)
+			return healthy(id)
 		}
-		run(p, c, 100, grey)
-		got := run(p, c, 1000, grey)
+		run(p, c, 100, partiallyFailing)
+		got := run(p, c, 1000, partiallyFailing)
 		t.Logf("%v", got)
 		assert.Assert(t, got["n0"] < 150)
 		assert.Assert(t, got["n0"] > 0)
 
-		run(p, c, 500, well)
-		got = run(p, c, 1000, well)
-		t.Logf("mended: %v", got)
+		run(p, c, 500, healthy)
+		got = run(p, c, 1000, healthy)
+		t.Logf("after recovery: %v", got)
 		assert.Assert(t, got["n0"] > 250)
 	})
 }
 
-// A host is gone. Calls must not find that out again and again.
-func TestANodeThatCantBeReachedIsLeftAlone(t *testing.T) {
+// A host is down. Without backoff, calls would repeatedly be sent to it and fail.
+func TestUnreachableNodeIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := balancer.New()
 		c := nodes(2, 1)
-		run(p, c, 100, well)
+		run(p, c, 100, healthy)
 
 		start := time.Now()
 		got := run(p, c, 400, func(id string) (balancer.Result, time.Duration) {
@@ -133,16 +133,16 @@
 				return balancer.Unreached, 0
 			}
 
-			return well(id)
+			return healthy(id)
 		})
 		t.Logf("%v in %s", got, time.Since(start))
-		assert.Assert(t, got["n0"] <= 20) // of 20 s, at one to two seconds between tries
+		assert.Assert(t, got["n0"] <= 20) // in 20 s, with a backoff of one to two seconds
 	})
 }
 
-// All that is left could not be reached twice in a row: a call is refused rather than
-// sent on a dead route.
-func TestADeadRouteIsNotTried(t *testing.T) {
+// The only candidate was unreachable several times in a row: Pick returns none rather
+// than a node on a dead route.
+func TestRepeatedlyUnreachableNodeIsNotPicked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := balancer.New()
 		c := nodes(1, 0)
@@ -159,21 +159,21 @@
 	})
 }
 
-// A backend server joins in another failure domain and would stay idle, since all
-// others are preferred to it.
-func TestANewNodeGetsSomething(t *testing.T) {
+// A backend server joins in another failure domain. Without probes it would stay idle,
+// since all others are preferred.
+func TestUnusedNodeGetsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := balancer.New()
-		run(p, nodes(2, 2), 200, well)
+		run(p, nodes(2, 2), 200, healthy)
 
-		got := run(p, nodes(2, 3), 100, well)
+		got := run(p, nodes(2, 3), 100, healthy)
 		assert.Assert(t, got["n4"] > 0)
 	})
 }
 
-// One of two near backend servers is three times slower. It gets what it can do on
-// time beside the other, not the half.
-func TestASlowNodeGetsLess(t *testing.T) {
+// One of two backend servers of the same failure domain is three times slower. It gets
+// the calls that it can answer in time, not half of all calls.
+func TestSlowNodeGetsSmallerShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := balancer.New()
 		c := nodes(2, 0)
@@ -182,7 +182,7 @@
 				return balancer.Answered, 144 * ms
 			}
 
-			return well(id)
+			return healthy(id)
 		}
 		run(p, c, 100, slow)
 		got := run(p, c, 500, slow)
@@ -190,7 +190,7 @@
 	})
 }
 
-// BenchmarkPick is one choice among the nodes that a large fleet has for a service.
+// BenchmarkPick picks among the nodes that a large fleet has for a service.
 func BenchmarkPick(b *testing.B) {
 	p := balancer.New()
 	c := nodes(9, 6)
@@ -206,10 +206,10 @@
 	}
 }
 
-// The near backend server is half as fast as one elsewhere, and late now and then. Calls
-// with small answers cross to be on time; for those with large ones the bytes would cost
-// more than the few late ones do.
-func TestASmallCallCrossesForLess(t *testing.T) {
+// The backend server of the same failure domain is half as fast as one of another domain
+// and sometimes misses the target. Calls with small answers go to the other domain; for
+// large answers the cross-domain cost exceeds the loss by late calls.
+func TestOnlySmallCallsGoToFasterOtherDomain(t *testing.T) {
 	for name, bytes := range map[string]int{"small": 200, "large": 20_000} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/balancer/node.go
+++ b/internal/balancer/node.go
@@ -8,134 +8,136 @@
 	"github.com/pollencart/pollencart/internal/forward"
 )
 
-// size is how long a route's calls take over all nodes, and how much is sent for them.
-type size struct {
-	mean      time.Duration
-	deviation time.Duration // from the mean, either way
-	bytes     float64       // of the answer
-	seen      int
+// routeStats holds a route's service times over all nodes, and the size of its answers.
+type routeStats struct {
+	mean        time.Duration
+	deviation   time.Duration // mean absolute deviation
+	answerBytes float64       // mean size of the answer
+	samples     int
 }
 
-// learn takes the mean of the first calls and moves slowly after, so that neither
-// the first call nor one slow node says how long calls take.
-func (s *size) learn(held time.Duration, bytes int) {
-	if s.seen < smoothing*smoothing {
-		s.seen++
+// observe adds a sample: a plain mean of the first calls, a moving average after them,
+// so that neither the first call nor one slow node determines the estimate.
+func (s *routeStats) observe(serviceTime time.Duration, answerBytes int) {
+	if s.samples < smoothing*smoothing {
+		s.samples++
 	}
 
-	if s.seen > smoothing {
-		held = min(held, clip*s.mean)
+	if s.samples > smoothing {
+		serviceTime = min(serviceTime, maxSampleRatio*s.mean)
 	}
 
-	off := held - s.mean
-	s.mean += off / time.Duration(s.seen)
-	s.deviation += (off.Abs() - s.deviation) / time.Duration(s.seen)
-	s.bytes += (float64(bytes) - s.bytes) / float64(s.seen)
+	off := serviceTime - s.mean
+	s.mean += off / time.Duration(s.samples)
+	s.deviation += (off.Abs() - s.deviation) / time.Duration(s.samples)
+	s.answerBytes += (float64(answerBytes) - s.answerBytes) / float64(s.samples)
 }
 
-// loss is what a caller stands to lose of its call if it is expected to end then: half
-// of it if it is late, the rest if it is given up.
-func (s *size) loss(expected time.Duration, n Need) float64 {
-	return lateLoss*s.exceeds(expected, n.Target) + (1-lateLoss)*s.exceeds(expected, n.Deadline)
+// expectedLoss returns the expected loss of a call's value at an expected completion
+// time: half of the value past the target, the rest past the deadline.
+func (s *routeStats) expectedLoss(expected time.Duration, n Need) float64 {
+	return lateLoss*s.probabilityOver(expected, n.Target) + (1-lateLoss)*s.probabilityOver(expected, n.Deadline)
 }
 
-// exceeds is the chance that a call takes longer than a limit. Calls of a route differ in
-// length, as far as seen in the same proportion at each node.
-func (s *size) exceeds(expected, limit time.Duration) float64 {
-	// A logistic curve is near enough to a bell, and has more of the long calls.
+// probabilityOver returns the probability that a call takes longer than limit. It assumes
+// that the relative deviation of a route's service times is the same at every node, as
+// observed so far.
+func (s *routeStats) probabilityOver(expected, limit time.Duration) float64 {
+	// A logistic curve approximates a normal distribution, with a heavier tail.
 	const steep = 1.7
 
-	deviation := deviations * float64(s.deviation) / float64(max(s.mean, time.Millisecond)) * float64(expected)
+	deviation := stdPerMeanDeviation * float64(s.deviation) / float64(max(s.mean, time.Millisecond)) * float64(expected)
 
 	return 1 / (1 + math.Exp(steep*float64(limit-expected)/max(deviation, 1)))
 }
 
-// toll is what it costs to carry a call to another failure domain and back, as a part of
-// what the call is worth.
-func (s *size) toll(n Need) float64 { return tollPerByte * (s.bytes + float64(n.Bytes) + frameBytes) }
+// crossingCost returns the cost of sending a call to another failure domain and its
+// answer back, as a fraction of the call's value.
+func (s *routeStats) crossingCost(n Need) float64 {
+	return crossingCostPerByte * (s.answerBytes + float64(n.Bytes) + callOverheadBytes)
+}
 
-// node is what was seen of one node.
+// node is the observed state of one node.
 type node struct {
 	used     bool
 	inFlight int
-	// speed is how long calls take here, over the usual time of their route.
-	speed    float64
-	failures float64
-	failed   time.Time // the last time
-	load     forward.Load
-	at       time.Time
-	avoid    time.Time
-	pause    time.Duration
+	// slowdown is the ratio of the node's service times to the mean of their routes.
+	slowdown    float64
+	failureRate float64
+	lastFailure time.Time
+	report      forward.Load
+	reportedAt  time.Time
+	avoidUntil  time.Time
+	backoff     time.Duration
 }
 
-func (p *Placer) worthATry(m *node, n Need, now time.Time) bool {
+func (p *Placer) shouldProbe(m *node, n Need, now time.Time) bool {
 	switch {
 	case !m.used:
-		return rand.IntN(tryNew) == 0
+		return rand.IntN(unusedProbeOdds) == 0
 	case m.failing(now) > 0 && n.Idempotent:
-		return rand.IntN(tryAgain) == 0
+		return rand.IntN(failingProbeOdds) == 0
 	}
 
 	return false
 }
 
-// failing is the part of calls that the node fails, beyond what counts.
+// failing returns the node's decayed failure rate above the threshold.
 func (m *node) failing(now time.Time) float64 {
-	if m.failures <= failing {
+	if m.failureRate <= failing {
 		return 0
 	}
 
-	return max(m.failures*math.Exp(-float64(now.Sub(m.failed))/float64(forgive))-failing, 0)
+	return max(m.failureRate*math.Exp(-float64(now.Sub(m.lastFailure))/float64(failureDecay))-failing, 0)
 }
 
-// expected is the time until a call would be answered.
+// expected returns the estimated time until a call is answered.
 func (p *Placer) expected(m *node, c *Candidate, n Need, now time.Time) time.Duration {
-	service := time.Duration(float64(p.size(n.Route).mean) * m.speed)
+	serviceTime := time.Duration(float64(p.routeStats(n.Route).mean) * m.slowdown)
 	wait := time.Duration(0)
 
-	if age := now.Sub(m.at); !m.at.IsZero() && age < fade {
-		wait = max(m.load.Wait(n.Rank)-age, 0)
+	if age := now.Sub(m.reportedAt); !m.reportedAt.IsZero() && age < reportTTL {
+		wait = max(m.report.Wait(n.Rank)-age, 0)
 	}
 
-	if over := m.inFlight + 1 - max(c.Slots, 1); over > 0 {
-		wait = max(wait, service*time.Duration(over)/time.Duration(max(c.Slots, 1)))
+	if excess := m.inFlight + 1 - max(c.Slots, 1); excess > 0 {
+		wait = max(wait, serviceTime*time.Duration(excess)/time.Duration(max(c.Slots, 1)))
 	}
 
-	// A little noise keeps nodes that know the same from choosing the same.
+	// Noise keeps nodes with equal observations from choosing the same node.
 	const noise = 0.05
 
-	spread := 1 + noise*rand.Float64()
+	jitter := 1 + noise*rand.Float64()
 
-	return time.Duration(float64(service+behind*wait) * spread)
+	return time.Duration(float64(serviceTime+queueWaitFactor*wait) * jitter)
 }
 
-func (p *Placer) size(route string) *size {
-	if s, ok := p.sizes[route]; ok {
+func (p *Placer) routeStats(route string) *routeStats {
+	if s, ok := p.routes[route]; ok {
 		return s
 	}
 
-	return &size{mean: unknownSize, deviation: unknownSize / 2}
+	return &routeStats{mean: defaultServiceTime, deviation: defaultServiceTime / 2}
 }
 
 func (p *Placer) node(id string) *node {
 	m := p.nodes[id]
 	if m == nil {
-		m = &node{speed: 1}
+		m = &node{slowdown: 1}
 		p.nodes[id] = m
 	}
 
 	return m
 }
 
-// Attempt is a call on its way.
+// Attempt is a call in flight to a node.
 type Attempt struct {
 	placer *Placer
 	node   *node
 	route  string
 }
 
-// End notes what came of it. Avoided is returned if the node is left alone from
-// now on.
+// End records the result of the attempt. It reports whether the node is avoided from now on.
 func (a Attempt) End(r Result, reply forward.Reply) (avoided bool) {
 	p, m := a.placer, a.node
 
@@ -145,15 +147,15 @@
 	m.inFlight--
 
 	if reply.Load.Slots > 0 {
-		m.load, m.at = reply.Load, time.Now()
+		m.report, m.reportedAt = reply.Load, time.Now()
 	}
 
 	switch r {
 	case Answered:
 		m.answered(p, a.route, time.Duration(reply.HeldMs)*time.Millisecond, len(reply.Body))
 	case Failed:
-		m.failures += (1 - m.failures) / smoothing
-		m.failed = time.Now()
+		m.failureRate += (1 - m.failureRate) / smoothing
+		m.lastFailure = time.Now()
 	case Unreached:
 		return m.unreached(time.Now())
 	case Busy, Abandoned:
@@ -162,30 +164,30 @@
 	return false
 }
 
-func (m *node) answered(p *Placer, route string, held time.Duration, bytes int) {
-	m.failures -= m.failures / smoothing
-	m.pause = 0
-	m.avoid = time.Time{}
+func (m *node) answered(p *Placer, route string, serviceTime time.Duration, answerBytes int) {
+	m.failureRate -= m.failureRate / smoothing
+	m.backoff = 0
+	m.avoidUntil = time.Time{}
 
-	s := p.sizes[route]
+	s := p.routes[route]
 	if s == nil {
-		s = &size{}
-		p.sizes[route] = s
+		s = &routeStats{}
+		p.routes[route] = s
 	}
 
-	s.learn(held, bytes)
+	s.observe(serviceTime, answerBytes)
 
-	ratio := min(float64(held)/float64(max(s.mean, time.Millisecond)), clip*m.speed)
-	m.speed += (ratio - m.speed) / smoothing
+	ratio := min(float64(serviceTime)/float64(max(s.mean, time.Millisecond)), maxSampleRatio*m.slowdown)
+	m.slowdown += (ratio - m.slowdown) / smoothing
 }
 
 func (m *node) unreached(now time.Time) bool {
-	if now.Before(m.avoid) {
+	if now.Before(m.avoidUntil) {
 		return false
 	}
 
-	m.pause = min(max(2*m.pause, firstAvoid), longestAvoid)
-	m.avoid = now.Add(m.pause/2 + rand.N(m.pause))
+	m.backoff = min(max(2*m.backoff, initialBackoff), maxBackoff)
+	m.avoidUntil = now.Add(m.backoff/2 + rand.N(m.backoff))
 
 	return true
 }
