--- a/internal/selection/group.go
+++ b/internal/selection/group.go
@@ -8,43 +8,44 @@
 )
 
 const (
-	// FailuresToEject running: one or two can be the call's own fault.
+	// FailuresToEject is the number of consecutive failures that eject a gate; one or
+	// two can be caused by the call itself.
 	FailuresToEject = 3
-	// SlowFactor over the median, plus SlowMargin: below it two choices shift
-	// the load well enough, and service times differ by chance.
+	// SlowFactor times the median plus SlowMargin is the service time above which a gate
+	// is slow. Below it the choice of two shifts enough load, and service times vary randomly.
 	SlowFactor = 3
-	// SlowMargin keeps very short service times from being judged by noise.
+	// SlowMargin keeps noise in very short service times from ejecting a gate.
 	SlowMargin = 5 * time.Millisecond
-	// samplesToJudge is how many service times have to be seen first.
-	samplesToJudge = 4
-	// ProbePicks is of how many calls an ejected gate, or one that was not picked
-	// for long, gets one. At one of 400 a gate that is still slow does not reach
-	// the 99th percentile.
+	// minSamples is the number of service times needed to evaluate a gate.
+	minSamples = 4
+	// ProbePicks is the number of a service's calls of which an ejected gate, or one that
+	// has not been picked for that many, gets one. At one of 400 a gate that is still slow
+	// does not affect the 99th percentile.
 	ProbePicks = 400
-	// ProbeAfter is when it gets one however few calls there are.
+	// ProbeAfter is the time after which such a gate gets a call at any call rate.
 	ProbeAfter = 10 * time.Second
-	// probeFaster is how much sooner the second probe comes after a good one.
-	probeFaster = 10
-	// GoodProbes readmit a gate.
+	// confirmSpeedup is the factor by which the next probe comes sooner after a good one.
+	confirmSpeedup = 10
+	// GoodProbes is the number of consecutive good probes that readmit a gate.
 	GoodProbes = 2
-	// EjectEvery bounds how fast work shifts away from a service's slow gates:
-	// the others have to be seen with the added load before the next one goes.
+	// EjectEvery is the minimum interval between ejections of slow gates of a service. The
+	// others are observed under the added load before the next one is ejected.
 	EjectEvery = 250 * time.Millisecond
-	// recent is how long the last answer of a gate vouches for it.
-	recent = 10 * time.Second
-	// judgeEvery bounds the work of computing medians.
-	judgeEvery = 20 * time.Millisecond
-	// forgetAfter drops gates that were not seen for long.
-	forgetAfter = 10 * time.Minute
+	// recentWindow is how long a gate counts as in use, or as answering, after its last call.
+	recentWindow = 10 * time.Second
+	// evaluationInterval bounds the work of computing medians.
+	evaluationInterval = 20 * time.Millisecond
+	// evictAfter is how long the state of an unused gate is kept.
+	evictAfter = 10 * time.Minute
 )
 
-// group is what is known of the gates of one service.
+// group is the state of the gates of one service.
 type group struct {
-	members     map[string]*member
-	picks       uint64
-	median      [classCount]time.Duration
-	judged      time.Time
-	lastEjected time.Time
+	members       map[string]*member
+	picks         uint64
+	median        [classCount]time.Duration
+	lastEvaluated time.Time
+	lastEjected   time.Time
 }
 
 func (g *group) member(c *Candidate, now time.Time) *member {
@@ -52,10 +53,10 @@
 
 	switch {
 	case m == nil:
-		g.forget(now)
+		g.evictUnused(now)
 
 		m = newMember(c, now)
-		m.pickedNo = g.picks
+		m.lastPick = g.picks
 		g.members[c.ID] = m
 	case !c.ReadySince.IsZero() && c.ReadySince.After(m.readySince):
 		m.restarted(c, now)
@@ -64,92 +65,93 @@
 	return m
 }
 
-// forgetTimes starts to learn service times anew.
-func (m *member) forgetTimes() {
+// resetServiceTimes discards the learned service times.
+func (m *member) resetServiceTimes() {
 	for i := range m.classes {
 		m.classes[i].samples = 0
 	}
 }
 
-// restarted forgets what was known of the backend server before it came back.
+// restarted resets the state when the backend server has restarted.
 func (m *member) restarted(c *Candidate, now time.Time) {
 	m.readySince = c.ReadySince
 	m.warmSince = now
-	m.ejected, m.failing, m.failures, m.good = false, false, 0, 0
-	m.forgetTimes()
+	m.ejected, m.ejectedForFailures, m.consecutiveFailures, m.goodProbes = false, false, 0, 0
+	m.resetServiceTimes()
 	m.report = call.Load{}
 }
 
-func (g *group) forget(now time.Time) {
+func (g *group) evictUnused(now time.Time) {
 	for id, m := range g.members {
-		if m.inFlight(classCount-1) == 0 && now.Sub(m.pickedAt) > forgetAfter {
+		if m.inFlight(classCount-1) == 0 && now.Sub(m.lastPickedAt) > evictAfter {
 			delete(g.members, id)
 		}
 	}
 }
 
-// probeDue reports whether the gate was not picked for so long that nothing is
-// known of it. Without probes a gate that was slow once is never seen again.
+// probeDue reports whether the gate has not been picked for so long that its state is
+// outdated. Without probes a gate that was slow once would never be used again.
 func (m *member) probeDue(g *group, n Need, now time.Time) bool {
 	picks, after := uint64(ProbePicks), ProbeAfter
-	if m.ejected && m.good > 0 {
-		picks, after = picks/probeFaster, after/probeFaster
+	if m.ejected && m.goodProbes > 0 {
+		picks, after = picks/confirmSpeedup, after/confirmSpeedup
 	}
 
-	since := now.Sub(m.pickedAt)
+	since := now.Sub(m.lastPickedAt)
 	if since >= after {
 		return true
 	}
 
-	// An upload must not be the one that finds out whether a gate still fails.
-	if m.failing && !n.Idempotent {
+	// A call that can't be retried, such as an upload, must not probe a failing gate.
+	if m.ejectedForFailures && !n.Idempotent {
 		return false
 	}
 
-	return g.picks-m.pickedNo >= picks && since >= time.Second/probeFaster
+	return g.picks-m.lastPick >= picks && since >= time.Second/confirmSpeedup
 }
 
-func (m *member) probed(g *group, now time.Time) {
-	m.pickedAt, m.pickedNo = now, g.picks
+func (m *member) markPicked(g *group, now time.Time) {
+	m.lastPickedAt, m.lastPick = now, g.picks
 }
 
-// judge ejects or readmits gates after an outcome.
-func (g *group) judge(m *member, class int, o Outcome, now time.Time) {
+// evaluate ejects or readmits gates after an outcome.
+func (g *group) evaluate(m *member, class int, o Outcome, now time.Time) {
 	switch o.Result {
 	case Failed:
-		m.failures++
-		m.good = 0
+		m.consecutiveFailures++
+		m.goodProbes = 0
 	case Answered:
-		m.failures = 0
+		m.consecutiveFailures = 0
 		m.lastAnswer = now
 	case Refused, TimedOut, Abandoned:
 		return
 	}
 
-	if m.failures >= FailuresToEject && !m.ejected && g.mayEjectFailing(m, now) {
+	if m.consecutiveFailures >= FailuresToEject && !m.ejected && g.mayEjectFailing(m, now) {
 		g.eject(m, now)
-		m.failing = true
+		m.ejectedForFailures = true
 	}
 
-	if now.Sub(g.judged) >= judgeEvery {
-		g.judged = now
-		g.judgeSlow(now)
+	if now.Sub(g.lastEvaluated) >= evaluationInterval {
+		g.lastEvaluated = now
+		g.evaluateSlow(now)
 	}
 
 	if m.ejected && o.Result == Answered {
-		g.readmit(m, class, o, now)
+		g.evaluateProbe(m, class, o, now)
 	}
 }
 
 func (g *group) eject(m *member, now time.Time) {
-	m.ejected, m.good = true, 0
+	m.ejected, m.goodProbes = true, 0
 	g.lastEjected = now
 }
 
-// mayEjectFailing keeps the last gate that answers.
+// mayEjectFailing allows an ejection while another gate has answered recently, or within
+// the limit for slow gates.
 func (g *group) mayEjectFailing(m *member, now time.Time) bool {
 	for _, other := range g.members {
-		if other != m && !other.ejected && other.failures < FailuresToEject && now.Sub(other.lastAnswer) < recent {
+		if other != m && !other.ejected && other.consecutiveFailures < FailuresToEject && now.Sub(other.lastAnswer) < recentWindow {
 			return true
 		}
 	}
@@ -157,12 +159,12 @@
 	return g.mayEjectSlow(now)
 }
 
-// mayEjectSlow keeps half of the gates that are in use.
+// mayEjectSlow allows the ejection of up to half of the gates that are in use.
 func (g *group) mayEjectSlow(now time.Time) bool {
 	ejected, used := 0, 0
 
 	for _, m := range g.members {
-		if now.Sub(m.lastEnd) > recent && !m.ejected {
+		if now.Sub(m.lastEnd) > recentWindow && !m.ejected {
 			continue
 		}
 
@@ -176,22 +178,22 @@
 	return ejected+1 <= used/2
 }
 
-func (g *group) judgeSlow(now time.Time) {
+func (g *group) evaluateSlow(now time.Time) {
 	for i := range classCount {
-		g.judgeClass(i, now)
+		g.evaluateClass(i, now)
 	}
 }
 
-// judgeClass compares the service times of one class, since a sweep's calls
-// take longer than folder opens on a healthy gate too.
-func (g *group) judgeClass(i int, now time.Time) {
+// evaluateClass compares the service times of one class. Classes are compared separately
+// because the calls of a sweep take longer than folder opens on a healthy gate too.
+func (g *group) evaluateClass(i int, now time.Time) {
 	var (
 		times []time.Duration
 		worst *member
 	)
 
 	for _, m := range g.members {
-		if m.ejected || m.classes[i].samples < samplesToJudge || now.Sub(m.lastEnd) > recent {
+		if m.ejected || m.classes[i].samples < minSamples || now.Sub(m.lastEnd) > recentWindow {
 			continue
 		}
 
@@ -218,19 +220,20 @@
 	return service > SlowFactor*g.median[i]+SlowMargin
 }
 
-// readmit takes a gate back after good probes, on a ramp as a cold one.
-func (g *group) readmit(m *member, class int, o Outcome, now time.Time) {
+// evaluateProbe readmits an ejected gate after enough good probes, with the ramp of a
+// cold one.
+func (g *group) evaluateProbe(m *member, class int, o Outcome, now time.Time) {
 	if g.slow(class, time.Duration(o.Load.Held)) {
-		m.good = 0
+		m.goodProbes = 0
 
 		return
 	}
 
-	m.good++
+	m.goodProbes++
 
-	if m.good >= GoodProbes {
-		m.ejected, m.failing, m.good = false, false, 0
-		m.forgetTimes()
+	if m.goodProbes >= GoodProbes {
+		m.ejected, m.ejectedForFailures, m.goodProbes = false, false, 0
+		m.resetServiceTimes()
 		m.warmSince = now
 	}
 }
--- a/internal/selection/member.go
+++ b/internal/selection/member.go
@@ -9,65 +9,66 @@
 )
 
 const (
-	// Ramp is how long a cold or readmitted gate takes to its whole share; the
+	// Ramp is the time until a cold or readmitted gate gets its full share of calls. The
 	// caches of a backend server are warm after some seconds of calls.
 	Ramp = 10 * time.Second
-	// rampStart is how often a cold one takes part in a draw at the begin; at
-	// none it would never warm up. It wins most of these, since it is empty.
+	// rampStart is the probability that a cold gate is sampled at the start of the ramp.
+	// At zero it would never warm up. Once sampled it usually wins, since it is idle.
 	rampStart = 0.05
-	// ReportLife is how long a report counts. At any load that matters a gate
-	// answers many times in it; a report that is older is a frozen one.
-	ReportLife = time.Second
-	// LeavingLife is how long a gate that said it is leaving gets no calls. By
-	// then its new state has come by gossip.
-	LeavingLife = 5 * time.Second
-	// bearOut bounds a report by own waits: it may be this many times worse.
-	bearOut = 16
-	// freePart of the slots were free if own calls did not wait.
-	freePart = 4
-	// smoothing of service times; about as many calls have a say.
+	// ReportTTL is how long a report is used. Under significant load a gate answers many
+	// times within it, so an older report is stale.
+	ReportTTL = time.Second
+	// DrainingTTL is how long a gate gets no calls after it has reported that it is
+	// draining. Its new state arrives by gossip within that time.
+	DrainingTTL = 5 * time.Second
+	// maxReportRatio bounds the reported wait to a multiple of the observed one.
+	maxReportRatio = 16
+	// freeSlotDivisor gives the part of the slots that is assumed to be free if the node's
+	// own calls did not wait: one in this many.
+	freeSlotDivisor = 4
+	// smoothing is the window of the moving averages, in calls.
 	smoothing = 8
-	// clip bounds what one call can say about service time, so that a single
-	// long one among short ones moves little.
-	clip = 4
+	// maxSampleRatio clips a service time to a multiple of the current average, so that a
+	// single long call has little effect.
+	maxSampleRatio = 4
 )
 
 const classCount = settings.ClassCount
 
-// member is what is known of one gate.
+// member is the state of one gate.
 type member struct {
 	readySince time.Time
-	warmSince  time.Time // begin of the ramp
+	warmSince  time.Time // start of the ramp
 
 	epoch      time.Time
 	report     call.Load
-	reported   time.Time
-	way        time.Duration // smoothed time that is neither wait nor service
-	classes    [classCount]outcomes
+	reportedAt time.Time
+	roundTrip  time.Duration // moving average of the time outside queue and slot
+	classes    [classCount]classStats
 	lastEnd    time.Time
 	lastAnswer time.Time
 
-	failures int // running
-	ejected  bool
-	failing  bool // ejected for failures, not for slowness
-	good     int  // good probes running
-	pickedAt time.Time
-	pickedNo uint64
+	consecutiveFailures int
+	ejected             bool
+	ejectedForFailures  bool // not for slowness
+	goodProbes          int  // consecutive
+	lastPickedAt        time.Time
+	lastPick            uint64
 }
 
-// outcomes is what own calls of one class showed of a gate.
-type outcomes struct {
-	inFlight int
-	starts   time.Duration // sum of start times since epoch
-	started  int           // since the last report
-	waited   time.Duration // smoothed waits in its queue
-	service  time.Duration // smoothed times in a slot
-	samples  int
+// classStats holds a gate's statistics from the node's own calls of one class.
+type classStats struct {
+	inFlight           int
+	startSum           time.Duration // sum of start times since epoch
+	startedSinceReport int           // calls since the last report
+	waited             time.Duration // moving average of the time in its queue
+	service            time.Duration // moving average of the time in a slot
+	samples            int
 }
 
 func newMember(c *Candidate, now time.Time) *member {
-	m := &member{readySince: c.ReadySince, epoch: now, pickedAt: now, warmSince: now}
-	// The clocks of two hosts differ; a start that lies ahead is a start now.
+	m := &member{readySince: c.ReadySince, epoch: now, lastPickedAt: now, warmSince: now}
+	// The hosts' clocks differ, so a start time in the future counts as now.
 	if !c.ReadySince.IsZero() && c.ReadySince.Before(now) {
 		m.warmSince = c.ReadySince
 	}
@@ -78,18 +79,18 @@
 func (m *member) begin(class int, now time.Time) {
 	c := &m.classes[class]
 	c.inFlight++
-	c.started++
-	c.starts += now.Sub(m.epoch)
+	c.startedSinceReport++
+	c.startSum += now.Sub(m.epoch)
 }
 
 func (m *member) end(class int, start, now time.Time) {
 	c := &m.classes[class]
 	c.inFlight--
-	c.starts -= start.Sub(m.epoch)
+	c.startSum -= start.Sub(m.epoch)
 	m.lastEnd = now
 }
 
-// inFlight counts own calls that go before a new one of the class, or beside it.
+// inFlight counts the node's own calls of this class and of more urgent ones.
 func (m *member) inFlight(class int) int {
 	n := 0
 	for i := range class + 1 {
@@ -99,21 +100,21 @@
 	return n
 }
 
-// age is how long the calls of a class that are in flight have run on average.
+// age returns the mean age of the calls in flight of a class.
 func (m *member) age(class int, now time.Time) time.Duration {
 	c := &m.classes[class]
 	if c.inFlight == 0 {
 		return 0
 	}
 
-	return now.Sub(m.epoch) - c.starts/time.Duration(c.inFlight)
+	return now.Sub(m.epoch) - c.startSum/time.Duration(c.inFlight)
 }
 
-func (m *member) learn(class int, o Outcome, took time.Duration, now time.Time) {
+func (m *member) observe(class int, o Outcome, took time.Duration, now time.Time) {
 	if o.Result != Failed || o.Load.Slots > 0 {
-		m.report, m.reported = o.Load, now
+		m.report, m.reportedAt = o.Load, now
 		for i := range m.classes {
-			m.classes[i].started = 0
+			m.classes[i].startedSinceReport = 0
 		}
 	}
 
@@ -123,8 +124,8 @@
 
 	c := &m.classes[class]
 	waited, held := time.Duration(o.Load.Waited), time.Duration(o.Load.Held)
-	smooth(&c.waited, waited)
-	smooth(&m.way, max(0, took-waited-held))
+	updateAverage(&c.waited, waited)
+	updateAverage(&m.roundTrip, max(0, took-waited-held))
 
 	c.samples++
 
@@ -134,19 +135,19 @@
 		return
 	}
 
-	smooth(&c.service, min(held, clip*c.service+time.Millisecond))
+	updateAverage(&c.service, min(held, maxSampleRatio*c.service+time.Millisecond))
 }
 
-func smooth(value *time.Duration, next time.Duration) { *value += (next - *value) / smoothing }
+func updateAverage(value *time.Duration, next time.Duration) { *value += (next - *value) / smoothing }
 
-// leaving reports whether the gate said that it takes no more calls.
-func (m *member) leaving(now time.Time) bool {
-	return m.report.Leaving && now.Sub(m.reported) < LeavingLife
+// draining reports whether the gate has recently reported that it takes no more calls.
+func (m *member) draining(now time.Time) bool {
+	return m.report.Leaving && now.Sub(m.reportedAt) < DrainingTTL
 }
 
-// cold reports whether this draw passes the gate over because it is cold: always
-// less often until the ramp is over.
-func (m *member) cold(random Random, now time.Time) bool {
+// skipCold reports whether to skip the gate in this sample because it is cold. The
+// probability falls linearly to zero over the ramp.
+func (m *member) skipCold(random Random, now time.Time) bool {
 	since := now.Sub(m.warmSince)
 	if since >= Ramp {
 		return false
@@ -157,7 +158,7 @@
 	return math.Exp(-random.ExpFloat64()) > warm
 }
 
-// cost is how long an answer is expected to take.
+// cost returns the expected time until an answer.
 func (m *member) cost(g *group, c *Candidate, class int, now time.Time) time.Duration {
 	seen := &m.classes[class]
 
@@ -166,48 +167,47 @@
 		service = g.median[class]
 	}
 
-	// Calls in flight that are older than calls usually get say more than what
-	// was learned before the backend server hung.
+	// When a backend server hangs, the age of its calls in flight exceeds the learned
+	// service time and replaces it.
 	service = max(service, m.age(class, now)-seen.waited, time.Microsecond)
 	slots := max(c.Slots, 1)
 	work := max(m.inFlight(class), m.reportedWork(class, slots, service, now)) + 1
 	wait := service * time.Duration(max(0, work-slots)) / time.Duration(slots)
 
-	return m.way + service + chance(service, work, slots) + wait
+	return m.roundTrip + service + contentionDelay(service, work, slots) + wait
 }
 
-// chance is the time lost by the chance that all slots are taken when the call
-// arrives. At ten slots that chance is close to the fourth power of the share in
-// use: small up to a half, so that work stays near, and steep above.
-func chance(service time.Duration, work, slots int) time.Duration {
+// contentionDelay returns the delay that results from the probability that all slots are
+// taken when the call arrives. At ten slots that probability is close to the fourth power of
+// the utilization: small up to a half, so that calls stay in the same failure domain, and
+// steep above.
+func contentionDelay(service time.Duration, work, slots int) time.Duration {
 	used := min(1, float64(work)/float64(slots))
 
 	return time.Duration(float64(service) * used * used * used * used)
 }
 
-// reportedWork is what the gate is thought to have now: what it usually has,
-// and of the excess over that at its last report what has not ended since. An
-// old count of a moment is noise, and whoever follows it runs after gaps that
-// others have long filled.
+// reportedWork estimates the gate's current work from its last report: the average, plus
+// the excess of the momentary count over it, which decays with the service time. An old
+// momentary count is noise; using it sends calls to slots that other nodes have since taken.
 //
-// It counts as far as own waits bear it out: a gate that reports a long queue in
-// which own calls did not wait has had a free slot for each of them, so it counts
-// as three quarters in use, no worse.
+// The estimate is limited by the node's own waits: if its calls did not wait, each of them
+// found a free slot, so a gate that reports a long queue counts as at most three quarters in use.
 func (m *member) reportedWork(class, slots int, service time.Duration, now time.Time) int {
-	age := now.Sub(m.reported)
-	if age > ReportLife {
+	age := now.Sub(m.reportedAt)
+	if age > ReportTTL {
 		return 0
 	}
 
-	started := 0
+	startedSinceReport := 0
 	for i := range class + 1 {
-		started += m.classes[i].started
+		startedSinceReport += m.classes[i].startedSinceReport
 	}
 
-	usual := m.report.Usual[class]
-	excess := float64(m.report.Work[class]) - usual
-	work := usual + excess*math.Exp(-float64(age)/float64(service))
-	borne := slots - slots/freePart + int(bearOut*m.classes[class].waited*time.Duration(slots)/service)
+	average := m.report.Usual[class]
+	excess := float64(m.report.Work[class]) - average
+	work := average + excess*math.Exp(-float64(age)/float64(service))
+	limit := slots - slots/freeSlotDivisor + int(maxReportRatio*m.classes[class].waited*time.Duration(slots)/service)
 
-	return min(int(math.Round(work))+started, borne)
+	return min(int(math.Round(work))+startedSinceReport, limit)
 }
--- a/internal/selection/model_test.go
+++ b/internal/selection/model_test.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	service = "browse"
-	slots   = 10
-	hold    = 40 * time.Millisecond
-	way     = time.Millisecond
+	service     = "browse"
+	slots       = 10
+	serviceTime = 40 * time.Millisecond
+	roundTrip   = time.Millisecond
 )
 
-// server is a gate with a backend server behind it.
+// server is a gate and its backend server.
 type server struct {
-	id, domain string
-	ready      time.Time
-	queue      *admission.Queue
-	hold       time.Duration
-	fails      bool
-	odd        *rand.Rand // if set, one call of fifty takes ten times as long
-	report     func(call.Load) call.Load
-
-	mu   sync.Mutex
-	ran  int
-	most int
+	id, domain  string
+	ready       time.Time
+	queue       *admission.Queue
+	serviceTime time.Duration
+	fails       bool
+	outliers    *rand.Rand // if set, one of 50 calls takes ten times as long
+	report      func(call.Load) call.Load
+
+	mu          sync.Mutex
+	ran         int
+	maxInFlight int
 }
 
 func newServer(id, domain string) *server {
 	return &server{
-		id: id, domain: domain, ready: time.Now().Add(-time.Hour), hold: hold,
-		queue:  admission.New(admission.Slots(slots), admission.ServiceTime(hold)),
+		id: id, domain: domain, ready: time.Now().Add(-time.Hour), serviceTime: serviceTime,
+		queue:  admission.New(admission.Slots(slots), admission.ServiceTime(serviceTime)),
 		report: func(l call.Load) call.Load { return l },
 	}
 }
@@ -49,8 +49,8 @@
 	return selection.Candidate{ID: s.id, Region: "midlands", FailureDomain: s.domain, Slots: slots, ReadySince: s.ready}
 }
 
-func (s *server) run(ctx context.Context, class settings.Class, held time.Duration) selection.Outcome {
-	time.Sleep(way / 2)
+func (s *server) run(ctx context.Context, class settings.Class, duration time.Duration) selection.Outcome {
+	time.Sleep(roundTrip / 2)
 
 	start := time.Now()
 
@@ -63,20 +63,20 @@
 
 	s.mu.Lock()
 	s.ran++
-	s.most = max(s.most, s.queue.Load().InFlight)
+	s.maxInFlight = max(s.maxInFlight, s.queue.Load().InFlight)
 	fails := s.fails
 
-	if held == 0 {
-		held = s.hold
+	if duration == 0 {
+		duration = s.serviceTime
 	}
 
-	if s.odd != nil && s.odd.IntN(50) == 0 {
-		held *= 10
+	if s.outliers != nil && s.outliers.IntN(50) == 0 {
+		duration *= 10
 	}
 
 	s.mu.Unlock()
 
-	time.Sleep(held)
+	time.Sleep(duration)
 	release()
 
 	o := selection.Outcome{Load: s.report(s.queue.Load().WithTimes(begun.Sub(start), time.Since(begun)))}
@@ -84,7 +84,7 @@
 		o.Result = selection.Failed
 	}
 
-	time.Sleep(way / 2)
+	time.Sleep(roundTrip / 2)
 
 	return o
 }
@@ -96,25 +96,26 @@
 	change()
 }
 
-// picker is what a way of choosing needs; selection.Selector is one.
-type picker interface {
+// strategy is a way to select a gate; selection.Selector implements it.
+type strategy interface {
 	Pick(string, []selection.Candidate, selection.Need) (selection.Candidate, bool)
 	Start(string, string, settings.Class) selection.Attempt
 }
 
-// mesh is some entries in front of some servers.
-type mesh struct {
+// cluster is a set of entry nodes that send calls to a set of servers.
+type cluster struct {
 	servers []*server
-	entries []picker
-	// hedge is after how long a second attempt is made beside the first.
+	entries []strategy
+	// hedge is the delay before a second attempt is made in parallel to the first.
 	hedge time.Duration
-	// class and held of the calls; the zero values are folder opens.
-	class settings.Class
-	held  time.Duration
+	// class and duration of the calls. With a zero duration a call takes the server's
+	// service time.
+	class    settings.Class
+	duration time.Duration
 }
 
-func newMesh(entries int, servers ...*server) *mesh {
-	m := &mesh{servers: servers, class: settings.ClassInteractive}
+func newCluster(entries int, servers ...*server) *cluster {
+	m := &cluster{servers: servers, class: settings.ClassInteractive}
 	for i := range entries {
 		m.entries = append(m.entries, selection.New(
 			selection.Region("midlands"), selection.FailureDomain(fmt.Sprint("domain-", i%4)),
@@ -134,13 +135,13 @@
 	return out
 }
 
-// got is what the callers got.
-type got struct {
+// results holds the outcomes of the calls.
+type results struct {
 	ok, failed, refused int
 	took                []time.Duration
 }
 
-func (g *got) p99() time.Duration {
+func (g *results) p99() time.Duration {
 	if len(g.took) == 0 {
 		return 0
 	}
@@ -150,7 +151,7 @@
 	return g.took[len(g.took)*99/100]
 }
 
-func (g *got) mean() time.Duration {
+func (g *results) mean() time.Duration {
 	var sum time.Duration
 	for _, d := range g.took {
 		sum += d
@@ -159,14 +160,15 @@
 	return sum / time.Duration(max(1, len(g.took)))
 }
 
-// play sends calls at random moments at a fixed mean rate through all entries.
-func (m *mesh) play(t *testing.T, rate float64, d time.Duration) *got {
+// runLoad sends calls through all entry nodes, with exponentially distributed intervals
+// at a fixed mean rate.
+func (m *cluster) runLoad(t *testing.T, rate float64, d time.Duration) *results {
 	t.Helper()
 
 	var (
 		wg     sync.WaitGroup
 		mu     sync.Mutex
-		out    = &got{}
+		out    = &results{}
 		random = rand.New(rand.NewPCG(3, 3))
 		end    = time.Now().Add(d)
 	)
@@ -178,7 +180,7 @@
 
 		wg.Go(func() {
 			start := time.Now()
-			o := m.hedged(t.Context(), entry)
+			o := m.sendHedged(t.Context(), entry)
 
 			mu.Lock()
 			defer mu.Unlock()
@@ -192,7 +194,7 @@
 	return out
 }
 
-func (g *got) add(o selection.Outcome, took time.Duration) {
+func (g *results) add(o selection.Outcome, took time.Duration) {
 	switch o.Result {
 	case selection.Answered:
 		g.ok++
@@ -204,15 +206,15 @@
 	}
 }
 
-// hedged takes whichever of two attempts answers first.
-func (m *mesh) hedged(ctx context.Context, entry picker) selection.Outcome {
+// sendHedged returns the first answer of two attempts.
+func (m *cluster) sendHedged(ctx context.Context, entry strategy) selection.Outcome {
 	if m.hedge == 0 {
-		return m.one(ctx, entry)
+		return m.send(ctx, entry)
 	}
 
 	answers := make(chan selection.Outcome, 2)
 
-	go func() { answers <- m.one(ctx, entry) }()
+	go func() { answers <- m.send(ctx, entry) }()
 
 	select {
 	case o := <-answers:
@@ -220,12 +222,12 @@
 	case <-time.After(m.hedge):
 	}
 
-	go func() { answers <- m.one(ctx, entry) }()
+	go func() { answers <- m.send(ctx, entry) }()
 
 	return <-answers
 }
 
-func (m *mesh) one(ctx context.Context, entry picker) selection.Outcome {
+func (m *cluster) send(ctx context.Context, entry strategy) selection.Outcome {
 	limit := time.Second
 	if m.class == settings.ClassBackground {
 		limit = 30 * time.Second
@@ -246,15 +248,15 @@
 
 	attempt := entry.Start(service, c.ID, m.class)
 	i := slices.IndexFunc(m.servers, func(s *server) bool { return s.id == c.ID })
-	o := m.servers[i].run(ctx, m.class, m.held)
+	o := m.servers[i].run(ctx, m.class, m.duration)
 	attempt.End(o)
 
 	return o
 }
 
-// Ways of choosing that were weighed against selection.Selector.
+// Selection strategies that selection.Selector is compared with.
 
-// atRandom picks any.
+// atRandom picks a random candidate.
 type atRandom struct {
 	*selection.Selector
 	random *lockedRand
@@ -276,7 +278,7 @@
 	return c[a.random.intN(len(c))], true
 }
 
-// leastReported picks the one that last reported the least work.
+// leastReported picks the candidate with the least work in its last report.
 type leastReported struct {
 	*selection.Selector
 	load func(id string) int
--- a/internal/selection/options.go
+++ b/internal/selection/options.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Options of a selector.
+// Options configures a selector.
 type Options struct {
 	Region        string
 	FailureDomain string
-	// Distances is how much cheaper a gate in another failure domain of the
-	// region, and in another region, has to be.
+	// Distances is the cost added to a gate in the same failure domain, in another
+	// failure domain of the region, and in another region.
 	Distances [tiers]time.Duration
 	Random    Random
 }
 
-// Random draws from the exponential distribution.
+// Random samples the exponential distribution.
 type Random interface{ ExpFloat64() float64 }
 
 // Option sets an option.
 type Option func(*Options)
 
-// A way to another failure domain and back takes one to two milliseconds in the
-// deployments that we know, one to another region about ten.
+// Typical round-trip times are one to two milliseconds to another failure domain and about
+// ten to another region.
 const (
 	domainDistance = time.Millisecond
 	regionDistance = 10 * time.Millisecond
@@ -37,13 +37,13 @@
 	return o
 }
 
-// Region says where this node is.
+// Region sets the region of this node.
 func Region(name string) Option { return func(o *Options) { o.Region = name } }
 
-// FailureDomain says where in the region this node is.
+// FailureDomain sets the failure domain of this node.
 func FailureDomain(name string) Option { return func(o *Options) { o.FailureDomain = name } }
 
-// WithRandom sets the source of random choices; tests fix it.
+// WithRandom sets the source of randomness. Tests use a fixed seed.
 func WithRandom(r Random) Option { return func(o *Options) { o.Random = r } }
 
 type global struct{}
--- a/internal/selection/selection.go
+++ b/internal/selection/selection.go
@@ -1,27 +1,28 @@
-// Package selection decides at the entry which gate a call goes to.
+// Package selection picks the gate that an entry node sends a call to. A gate is the node
+// on the backend server's host.
 //
-// # The load it answers
+// # Load
 //
-// Uneven load, slow, failing and cold backend servers, and reports that lag or
-// mislead.
+// Load is uneven, backend servers can be slow, failing or cold, and reports can be stale or
+// misleading.
 //
-//   - Two choices: of two gates taken at random the one with the lower cost
-//     wins. Without the second choice random peaks queue up on one backend
-//     server while others idle; with a choice among all, every entry runs after
-//     the one that looked empty a moment ago.
-//   - Near before far: two are taken from each tier (own failure domain, own
-//     region, elsewhere), and a farther tier has to be cheaper by its distance.
-//     So work spills over when the expected wait nearby is longer than the way.
-//   - Slow start: a cold backend server, or one that was readmitted, is drawn
-//     with a weight that grows over Ramp. Without it a restarted one looks empty
-//     to all entries at once and is buried while its caches are cold.
-//   - Own outcomes over reports: cost is the service time that this entry has
-//     seen, times own calls in flight. What a gate reports about its queue
-//     counts for ReportLife only, and for no more than own waits bear out.
-//   - Ejection: a gate that fails FailuresToEject times running, or that is
-//     SlowFactor slower than the median, gets no calls but a rare probe. Slow
-//     ones are ejected up to half of a service, failing ones as long as another
-//     one answers, so that a bad signal never empties a service.
+//   - Power of two choices: of two gates sampled at random the one with the lower cost is
+//     used. With one random choice, peaks queue up on one backend server while others
+//     idle; with a choice among all, every entry node picks the one that looked idle in
+//     the last reports.
+//   - Locality: two gates are sampled from each tier (same failure domain, same region,
+//     other regions), and the cost of a farther tier includes its distance. Calls
+//     overflow when the expected wait in the near tier exceeds the round-trip time.
+//   - Slow start: a cold or readmitted backend server is sampled with a probability that
+//     grows over Ramp. Without it a restarted one looks idle to all entry nodes at once
+//     and is overloaded while its caches are cold.
+//   - Observations before reports: the cost is based on the service times that this entry
+//     node has observed and its own calls in flight. A gate's report about its queue is
+//     used for ReportTTL only, and is limited by the node's own waits.
+//   - Ejection: a gate that fails FailuresToEject times in a row, or is SlowFactor slower
+//     than the median, gets only rare probes. Up to half of a service's gates are ejected
+//     as slow, and failing ones as long as another one answers, so that a wrong signal
+//     never empties a service.
 //
 // # Usage
 //
@@ -41,51 +42,51 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Candidate is a gate that a call could go to.
+// Candidate is a gate that a call can be sent to.
 type Candidate struct {
 	ID            string
 	Address       string
 	Region        string
 	FailureDomain string
 	Slots         int
-	// ReadySince is when its backend server said that it was ready.
+	// ReadySince is the time from which its backend server reports that it is ready.
 	ReadySince time.Time
 }
 
-// Need is what the call wants of a gate.
+// Need describes the call to place.
 type Need struct {
 	Class settings.Class
 	// Idempotent calls may probe a gate that failed.
 	Idempotent bool
-	// Tried are gates that this call was sent to before.
+	// Tried holds the IDs of gates that were already attempted for this call.
 	Tried []string
 }
 
-// Result is what came of an attempt.
+// Result is the result of an attempt.
 type Result uint8
 
 // The results.
 const (
 	// Answered means that the backend server answered.
 	Answered Result = iota
-	// Refused means that the gate turned the call away as not run.
+	// Refused means that the gate rejected the call without running it.
 	Refused
-	// Failed means that no answer came, or the answer tells of a fault.
+	// Failed means that there was no answer, or that the answer reports a server error.
 	Failed
-	// TimedOut means that the deadline passed; it counts as a failure only if the
-	// gate had the time that others need.
+	// TimedOut means that the deadline passed. It counts as a failure only if the attempt
+	// took longer than the limit for a slow gate.
 	TimedOut
-	// Abandoned means that the caller went away; it tells nothing of the gate.
+	// Abandoned means that the caller canceled the call; it says nothing about the gate.
 	Abandoned
 )
 
-// Outcome is the result of an attempt and what the gate told with it.
+// Outcome is the result of an attempt and the load that the gate reported with it.
 type Outcome struct {
 	Result Result
 	Load   call.Load
 }
 
-// Selector picks gates by what this node has seen of them.
+// Selector picks gates by what this node has observed of them.
 type Selector struct {
 	options Options
 
@@ -93,12 +94,12 @@
 	groups map[string]*group
 }
 
-// New returns a selector that has seen nothing.
+// New returns a selector without observations.
 func New(opts ...Option) *Selector {
 	return &Selector{options: newOptions(opts...), groups: map[string]*group{}}
 }
 
-// Pick returns one of the candidates, or false if none of them takes calls.
+// Pick returns one of the candidates, or false if none of them can take the call.
 func (s *Selector) Pick(service string, candidates []Candidate, n Need) (Candidate, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,8 +109,8 @@
 	g.picks++
 
 	var (
-		draws [tiers]reservoir.Two[drawn]
-		spare reservoir.Two[drawn]
+		tierSamples [tiers]reservoir.Two[sampled]
+		fallback    reservoir.Two[sampled]
 	)
 
 	for i := range candidates {
@@ -121,45 +122,45 @@
 		m := g.member(c, now)
 
 		switch {
-		case m.leaving(now):
+		case m.draining(now):
 		case m.probeDue(g, n, now):
-			m.probed(g, now)
+			m.markPicked(g, now)
 
 			return *c, true
 		case m.ejected:
-			spare.Add(drawn{c, m}, lastResort+s.options.Random.ExpFloat64())
-		case m.cold(s.options.Random, now):
-			spare.Add(drawn{c, m}, s.options.Random.ExpFloat64())
+			fallback.Add(sampled{c, m}, lastResort+s.options.Random.ExpFloat64())
+		case m.skipCold(s.options.Random, now):
+			fallback.Add(sampled{c, m}, s.options.Random.ExpFloat64())
 		default:
-			draws[s.tier(c)].Add(drawn{c, m}, s.options.Random.ExpFloat64()/float64(max(c.Slots, 1)))
+			tierSamples[s.tier(c)].Add(sampled{c, m}, s.options.Random.ExpFloat64()/float64(max(c.Slots, 1)))
 		}
 	}
 
-	chosen := s.cheapest(&draws, g, n, now)
-	// An ejected gate is better than none for the first attempt; sending a call
-	// there once more is only load.
-	if chosen.candidate == nil && (len(n.Tried) == 0 || spare.FirstKey() < lastResort) {
-		chosen, _ = spare.First()
+	chosen := s.cheapest(&tierSamples, g, n, now)
+	// An ejected gate is used for a first attempt if there is no other one; a retry there
+	// would only add load.
+	if chosen.candidate == nil && (len(n.Tried) == 0 || fallback.FirstKey() < lastResort) {
+		chosen, _ = fallback.First()
 	}
 
 	if chosen.candidate == nil {
 		return Candidate{}, false
 	}
 
-	chosen.member.probed(g, now)
+	chosen.member.markPicked(g, now)
 
 	return *chosen.candidate, true
 }
 
-// cheapest compares the two that were drawn from each tier.
-func (s *Selector) cheapest(draws *[tiers]reservoir.Two[drawn], g *group, n Need, now time.Time) drawn {
+// cheapest returns the gate with the lowest cost of those sampled from all tiers.
+func (s *Selector) cheapest(tierSamples *[tiers]reservoir.Two[sampled], g *group, n Need, now time.Time) sampled {
 	var (
-		best drawn
+		best sampled
 		cost time.Duration
 	)
 
-	for tier := range draws {
-		both, count := draws[tier].Both()
+	for tier := range tierSamples {
+		both, count := tierSamples[tier].Both()
 
 		for _, d := range both[:count] {
 			c := d.member.cost(g, d.candidate, n.Class.Rank(), now) + s.options.Distances[tier]
@@ -172,11 +173,11 @@
 	return best
 }
 
-// Tiers of distance.
+// Tiers by distance.
 const (
 	tierDomain = iota
 	tierRegion
-	tierFar
+	tierRemote
 	tiers
 )
 
@@ -188,19 +189,19 @@
 		return tierRegion
 	}
 
-	return tierFar
+	return tierRemote
 }
 
-// lastResort puts ejected gates behind all others.
+// lastResort offsets the sampling keys of ejected gates, so that all others come first.
 const lastResort = 1e6
 
-// drawn is a candidate that was drawn, with what is known of it.
-type drawn struct {
+// sampled is a sampled candidate with its state.
+type sampled struct {
 	candidate *Candidate
 	member    *member
 }
 
-// Attempt is one call on its way to a gate.
+// Attempt is a call in flight to a gate.
 type Attempt struct {
 	selector *Selector
 	group    *group
@@ -209,7 +210,7 @@
 	start    time.Time
 }
 
-// Start notes a call to the gate.
+// Start records that a call is sent to a gate.
 func (s *Selector) Start(service, id string, class settings.Class) Attempt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +223,7 @@
 	return Attempt{selector: s, group: g, member: m, class: class.Rank(), start: now}
 }
 
-// End notes what came of it.
+// End records the outcome of the attempt.
 func (a Attempt) End(o Outcome) {
 	a.selector.mu.Lock()
 	defer a.selector.mu.Unlock()
@@ -231,7 +232,7 @@
 	took := now.Sub(a.start)
 	a.member.end(a.class, a.start, now)
 
-	// Callers that leave no time would have every gate ejected.
+	// Otherwise callers with very short timeouts would have every gate ejected.
 	if o.Result == TimedOut && a.group.slow(a.class, took) {
 		o.Result = Failed
 	}
@@ -240,8 +241,8 @@
 		return
 	}
 
-	a.member.learn(a.class, o, took, now)
-	a.group.judge(a.member, a.class, o, now)
+	a.member.observe(a.class, o, took, now)
+	a.group.evaluate(a.member, a.class, o, now)
 }
 
 func (s *Selector) group(service string) *group {
@@ -254,7 +255,7 @@
 	return g
 }
 
-// Ejected returns the IDs of gates of the service that get no calls but probes.
+// Ejected returns the IDs of the service's gates that get only probes.
 func (s *Selector) Ejected(service string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/selection/selection_test.go
+++ b/internal/selection/selection_test.go
@@ -15,88 +15,88 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-const full = 4 * slots * 25 // calls a second that fill four servers
+const saturatingRate = 4 * slots * 25 // calls per second that saturate four servers
 
 // One of four backend servers takes ten times as long (a failing disk, a noisy
-// neighbour). Every fourth caller would wait ten times as long as the others.
-func TestASlowServerIsLeftOut(t *testing.T) {
+// neighbor). Without ejection, a quarter of the calls would take ten times as long.
+func TestSlowServerIsAvoided(t *testing.T) {
 	var three, four time.Duration
 
 	synctest.Test(t, func(t *testing.T) {
-		three = newMesh(12, fourServers()[:3]...).play(t, full/2, 10*time.Second).p99()
+		three = newCluster(12, fourServers()[:3]...).runLoad(t, saturatingRate/2, 10*time.Second).p99()
 	})
 	synctest.Test(t, func(t *testing.T) {
 		servers := fourServers()
-		servers[3].hold = 10 * hold
-		m := newMesh(12, servers...)
-		m.play(t, full/2, time.Second)
+		servers[3].serviceTime = 10 * serviceTime
+		m := newCluster(12, servers...)
+		m.runLoad(t, saturatingRate/2, time.Second)
 
 		before := servers[3].ran
-		g := m.play(t, full/2, 10*time.Second)
+		g := m.runLoad(t, saturatingRate/2, 10*time.Second)
 		four = g.p99()
-		t.Logf("p99 %s with three good ones, %s with the slow one, which ran %d of %d", three, four, servers[3].ran-before, g.ok)
+		t.Logf("p99 %s with three fast servers, %s with the slow one, which ran %d of %d", three, four, servers[3].ran-before, g.ok)
 	})
 	assert.Assert(t, four <= 2*three, "%s and %s", three, four)
 }
 
-// An archive sweep fills the queues of its own class. An entry that took these
-// for work in front of a folder open would send all folder opens to whichever
-// gate has the shortest sweep, and they would queue there.
-func TestASweepDoesNotSteerFolderOpens(t *testing.T) {
+// An archive sweep (background class) fills the queues of its own class. If an entry node
+// counted these as work ahead of a folder open (interactive class), it would send all
+// folder opens to the gate with the shortest background queue, where they would queue up.
+func TestBackgroundCallsDoNotAffectInteractiveSelection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMesh(4, fourServers()...)
-		sweep := &mesh{servers: m.servers, entries: m.entries, class: settings.ClassBackground, held: 5 * hold}
-		m.play(t, full/2, 2*time.Second)
+		m := newCluster(4, fourServers()...)
+		sweep := &cluster{servers: m.servers, entries: m.entries, class: settings.ClassBackground, duration: 5 * serviceTime}
+		m.runLoad(t, saturatingRate/2, 2*time.Second)
 
 		var (
 			wg    sync.WaitGroup
-			opens *got
-			swept *got
+			opens *results
+			swept *results
 		)
 
-		wg.Go(func() { swept = sweep.play(t, full/5, 10*time.Second) })
-		wg.Go(func() { opens = m.play(t, full/2, 10*time.Second) })
+		wg.Go(func() { swept = sweep.runLoad(t, saturatingRate/5, 10*time.Second) })
+		wg.Go(func() { opens = m.runLoad(t, saturatingRate/2, 10*time.Second) })
 		wg.Wait()
 		t.Logf("p99 of folder opens %s, sweep ran %d", opens.p99(), swept.ok)
-		assert.Assert(t, opens.p99() <= 3*hold/2, "%s", opens.p99())
+		assert.Assert(t, opens.p99() <= 3*serviceTime/2, "%s", opens.p99())
 		assert.Assert(t, swept.ok > 100)
 	})
 }
 
-// The slow one gets well again. If nobody tried it, it would idle for good.
-func TestAServerThatIsWellAgainGetsItsShareBack(t *testing.T) {
+// A slow backend server recovers. Without probes it would stay idle forever.
+func TestRecoveredServerRegainsItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		servers := fourServers()
-		servers[3].hold = 10 * hold
-		m := newMesh(4, servers...)
-		m.play(t, full/2, 5*time.Second)
-		servers[3].set(func() { servers[3].hold = hold })
-		m.play(t, full/2, 30*time.Second)
+		servers[3].serviceTime = 10 * serviceTime
+		m := newCluster(4, servers...)
+		m.runLoad(t, saturatingRate/2, 5*time.Second)
+		servers[3].set(func() { servers[3].serviceTime = serviceTime })
+		m.runLoad(t, saturatingRate/2, 30*time.Second)
 
 		before := servers[3].ran
-		g := m.play(t, full/2, 5*time.Second)
+		g := m.runLoad(t, saturatingRate/2, 5*time.Second)
 		share := float64(servers[3].ran-before) / float64(g.ok)
 		assert.Assert(t, share > 0.15, "share %.2f", share)
 	})
 }
 
-// A backend server says that it is healthy and fails every call. Its queue is
-// empty, so whoever believes reports sends it the most.
-func TestAReportOfHealthDoesNotHideFailures(t *testing.T) {
+// A backend server reports that it is idle and fails every call. Selection by reports
+// alone would send it the most calls.
+func TestFailuresOverrideAReportOfLowLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		servers := fourServers()
 		servers[0].fails = true
 		servers[0].report = func(l call.Load) call.Load { return call.Load{Slots: l.Slots} }
-		m := newMesh(4, servers...)
-		g := m.play(t, full/2, 10*time.Second)
+		m := newCluster(4, servers...)
+		g := m.runLoad(t, saturatingRate/2, 10*time.Second)
 		share := float64(g.failed) / float64(g.ok+g.failed)
 		assert.Assert(t, share < 0.01, "%.3f failed", share)
 	})
 }
 
-// A backend server reports a queue that it does not have. Left out, the others
-// would have to carry its work.
-func TestAReportOfSicknessDoesNotHideGoodAnswers(t *testing.T) {
+// A backend server reports a long queue that does not exist. If it got no calls, the
+// others would have to take its share.
+func TestAnswersOverrideAReportOfHighLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		servers := fourServers()
 		servers[0].report = func(l call.Load) call.Load {
@@ -105,37 +105,36 @@
 			return l
 		}
 
-		g := newMesh(4, servers...).play(t, full/2, 10*time.Second)
+		g := newCluster(4, servers...).runLoad(t, saturatingRate/2, 10*time.Second)
 		share := float64(servers[0].ran) / float64(g.ok)
 		t.Logf("share %.3f", share)
 		assert.Assert(t, share > 0.05, "share %.3f", share)
 	})
 }
 
-// A reporter hangs and repeats an empty queue for ever, while the backend
-// server has become slow.
-func TestAFrozenReportDoesNotDrawWork(t *testing.T) {
+// A backend server has become slow while its reports are stuck at an empty queue.
+func TestStaleReportDoesNotAttractCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		servers := fourServers()
-		servers[0].hold = 5 * hold
+		servers[0].serviceTime = 5 * serviceTime
 		servers[0].report = func(l call.Load) call.Load { return call.Load{Slots: slots, Waited: l.Waited, Held: l.Held} }
 
-		g := newMesh(4, servers...).play(t, full/2, 10*time.Second)
+		g := newCluster(4, servers...).runLoad(t, saturatingRate/2, 10*time.Second)
 		assert.Assert(t, float64(servers[0].ran)/float64(g.ok) < 0.1)
 	})
 }
 
-// All backend servers of a service fail at once, for a fault in what stands
-// behind them. If all were ejected, nobody would find out that they are back.
-func TestEjectionNeverEmptiesAService(t *testing.T) {
+// All backend servers of a service fail at once because a shared dependency fails. If all
+// were ejected, their recovery would go unnoticed.
+func TestEjectionKeepsGatesWhenAllFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		servers := fourServers()
 		for _, s := range servers {
 			s.fails = true
 		}
 
-		m := newMesh(1, servers...)
-		g := m.play(t, full/4, 5*time.Second)
+		m := newCluster(1, servers...)
+		g := m.runLoad(t, saturatingRate/4, 5*time.Second)
 		assert.Equal(t, g.refused, 0)
 
 		ejected := m.entries[0].(*selection.Selector).Ejected(service)
@@ -145,90 +144,90 @@
 			s.set(func() { s.fails = false })
 		}
 
-		g = m.play(t, full/4, time.Second)
+		g = m.runLoad(t, saturatingRate/4, time.Second)
 		assert.Assert(t, float64(g.ok) > 0.99*float64(g.ok+g.failed))
 	})
 }
 
-// A backend server was restarted. To every entry it looks empty, and its caches
-// are cold.
-func TestAColdServerIsWarmedUpSlowly(t *testing.T) {
+// A backend server has restarted: it looks idle to every entry node, and its caches are
+// cold.
+func TestColdServerGetsCallsGradually(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		servers := fourServers()
-		m := newMesh(12, servers...)
+		m := newCluster(12, servers...)
 		time.Sleep(time.Minute)
-		m.play(t, full/2, 5*time.Second)
+		m.runLoad(t, saturatingRate/2, 5*time.Second)
 
 		servers[0].ready = time.Now()
 		servers[0].ran = 0
-		first := m.play(t, full/2, time.Second)
+		first := m.runLoad(t, saturatingRate/2, time.Second)
 		early := float64(servers[0].ran) / float64(first.ok)
 
-		m.play(t, full/2, 15*time.Second)
+		m.runLoad(t, saturatingRate/2, 15*time.Second)
 
 		before := servers[0].ran
-		later := m.play(t, full/2, 5*time.Second)
+		later := m.runLoad(t, saturatingRate/2, 5*time.Second)
 		late := float64(servers[0].ran-before) / float64(later.ok)
 		t.Logf("share %.3f in the first second, %.3f after the ramp", early, late)
 		assert.Assert(t, early < 0.1 && late > 0.2, "%.3f and %.3f", early, late)
 	})
 }
 
-// All callers of a region come through one failure domain (a public address
-// that resolves to one hall). Its backend server alone can't carry them.
-func TestWorkStaysNearUntilWaitingIsLongerThanTheWay(t *testing.T) {
-	near := func(rate float64) (share float64, p99 time.Duration) {
+// All callers of a region enter through one failure domain, as with a public address that
+// resolves to one site. The domain's backend server alone can't handle them.
+func TestCallsOverflowWhenTheLocalWaitExceedsTheRoundTrip(t *testing.T) {
+	localShare := func(rate float64) (share float64, p99 time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
 			servers := fourServers()
-			m := newMesh(4, servers...)
+			m := newCluster(4, servers...)
 			m.entries = m.entries[:1]
-			g := m.play(t, rate, 10*time.Second)
+			g := m.runLoad(t, rate, 10*time.Second)
 			share, p99 = float64(servers[0].ran)/float64(g.ok), g.p99()
 		})
 
 		return share, p99
 	}
 
-	quiet, _ := near(full / 40)
-	busy, p99 := near(full * 6 / 10)
-	t.Logf("near share %.2f at 10%% of the near server, %.2f at 240%%, p99 %s", quiet, busy, p99)
+	quiet, _ := localShare(saturatingRate / 40)
+	busy, p99 := localShare(saturatingRate * 6 / 10)
+	t.Logf("local share %.2f at 10%% of the local server's capacity, %.2f at 240%%, p99 %s", quiet, busy, p99)
 	assert.Assert(t, quiet > 0.8)
 	assert.Assert(t, busy < 0.5)
-	assert.Assert(t, p99 < 3*hold)
+	assert.Assert(t, p99 < 3*serviceTime)
 }
 
-// TestWaysOfChoosing prints the figures of docs/design/0202-selection.md.
-func TestWaysOfChoosing(t *testing.T) {
+// TestCompareStrategies prints the figures of docs/design/0202-selection.md.
+func TestCompareStrategies(t *testing.T) {
 	random := &lockedRand{r: rand.New(rand.NewPCG(9, 9))}
 	tail := map[string]time.Duration{}
 
 	for _, w := range []struct {
 		name string
-		of   func(*mesh) func(*selection.Selector) picker
+		of   func(*cluster) func(*selection.Selector) strategy
 	}{
-		{"two choices by cost", func(*mesh) func(*selection.Selector) picker {
-			return func(s *selection.Selector) picker { return s }
+		{"two choices by cost", func(*cluster) func(*selection.Selector) strategy {
+			return func(s *selection.Selector) strategy { return s }
 		}},
-		{"at random", func(*mesh) func(*selection.Selector) picker {
-			return func(s *selection.Selector) picker { return atRandom{s, random} }
+		{"at random", func(*cluster) func(*selection.Selector) strategy {
+			return func(s *selection.Selector) strategy { return atRandom{s, random} }
 		}},
-		{"least reported", func(m *mesh) func(*selection.Selector) picker {
-			load := lagging(m)
+		{"least reported", func(m *cluster) func(*selection.Selector) strategy {
+			load := delayedReports(m)
 
-			return func(s *selection.Selector) picker { return leastReported{s, load} }
+			return func(s *selection.Selector) strategy { return leastReported{s, load} }
 		}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			m := newMesh(12, fourServers()...)
+			m := newCluster(12, fourServers()...)
 			wrap := w.of(m)
 
 			for i := range m.entries {
 				m.entries[i] = wrap(m.entries[i].(*selection.Selector))
 			}
 
-			g := m.play(t, full*8/10, 10*time.Second)
+			g := m.runLoad(t, saturatingRate*8/10, 10*time.Second)
 			tail[w.name] = g.p99()
-			t.Logf("%-20s mean %s p99 %s, answered %d, refused %d", w.name, g.mean(), g.p99(), g.ok, g.refused)
+			t.Logf("%-20s mean %s p99 %s, answered %d, rejected %d", w.name, g.mean(), g.p99(), g.ok, g.refused)
 		})
 	}
 
@@ -236,22 +235,22 @@
 	assert.Assert(t, tail["two choices by cost"] < tail["least reported"]/2, "%v", tail)
 }
 
-// TestHedging prints the figures of docs/design/0203-retries.md: one call of
-// fifty takes ten times as long, and a second attempt is made when the first has
-// taken twice the usual time.
+// TestHedging prints the figures of docs/design/0203-retries.md: one of 50 calls takes ten
+// times as long, and a second attempt is made when the first has taken twice the usual
+// service time.
 func TestHedging(t *testing.T) {
 	for _, load := range []float64{0.3, 0.5, 0.7} {
-		for _, hedge := range []time.Duration{0, 2 * hold} {
+		for _, hedge := range []time.Duration{0, 2 * serviceTime} {
 			synctest.Test(t, func(t *testing.T) {
 				servers := fourServers()
 				for i, s := range servers {
-					s.odd = rand.New(rand.NewPCG(5, uint64(i)))
+					s.outliers = rand.New(rand.NewPCG(5, uint64(i)))
 				}
 
-				m := newMesh(4, servers...)
+				m := newCluster(4, servers...)
 				m.hedge = hedge
-				g := m.play(t, full*load, 20*time.Second)
-				time.Sleep(time.Second) // the losing attempts end
+				g := m.runLoad(t, saturatingRate*load, 20*time.Second)
+				time.Sleep(time.Second) // let the slower attempts end
 
 				ran := 0
 				for _, s := range servers {
@@ -262,15 +261,15 @@
 				t.Logf("load %.1f, hedge after %-4s: p99 %s, ran %.3f of the calls", load, hedge, g.p99(), work)
 
 				if hedge > 0 && load > 0.6 {
-					assert.Assert(t, work > 1.5, "hedging at high load was ruled out for its work")
+					assert.Assert(t, work > 1.5, "hedging at high load was rejected because of its extra work")
 				}
 			})
 		}
 	}
 }
 
-// lagging returns reports that are up to 100 ms old, as a report by heartbeat is.
-func lagging(m *mesh) func(string) int {
+// delayedReports returns reports that are up to 100 ms old, like those sent with heartbeats.
+func delayedReports(m *cluster) func(string) int {
 	var (
 		mu   sync.Mutex
 		at   time.Time
@@ -294,7 +293,7 @@
 	}
 }
 
-func TestALeavingGateGetsNothingNew(t *testing.T) {
+func TestDrainingGateGetsNoNewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := selection.New()
 		two := []selection.Candidate{{ID: "a", Slots: 1}, {ID: "b", Slots: 1}}
@@ -312,13 +311,13 @@
 
 		two[0].ReadySince = time.Now().Add(time.Second)
 		_, ok = s.Pick(service, two[:1], selection.Need{})
-		assert.Assert(t, ok, "it came back")
+		assert.Assert(t, ok, "not picked after the restart")
 	})
 }
 
-// A caller that allows a millisecond gets no answer in time from anyone. That
-// must not count against the gates.
-func TestHastyCallersEjectNobody(t *testing.T) {
+// A caller with a timeout of one millisecond gets no answer in time from any gate. Such
+// timeouts must not count as failures of the gates.
+func TestShortTimeoutsDoNotEjectGates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := selection.New()
 		two := []selection.Candidate{{ID: "a", Slots: 1}, {ID: "b", Slots: 1}}
@@ -343,7 +342,7 @@
 	return out
 }
 
-func TestPickingAllocatesNothing(t *testing.T) {
+func TestPickDoesNotAllocate(t *testing.T) {
 	s := selection.New(selection.FailureDomain("1"))
 	all := candidates(14)
 	s.Pick(service, all, selection.Need{})
