--- a/internal/route/holder.go
+++ b/internal/route/holder.go
@@ -5,24 +5,24 @@
 	"sync/atomic"
 )
 
-// Holder holds the table in force. It only goes up: a table with a lower or equal
-// version is not taken, whoever offers it, so that an old answer of the store or
-// of a peer that arrives late never takes a node back.
+// Holder stores the active table. Its version only increases: a table with a lower or
+// equal version is rejected from any source, so that a delayed answer of the store or of a
+// peer never reverts a node to an older version.
 type Holder struct {
 	current atomic.Pointer[Table]
 
-	mu     sync.Mutex
-	raw    []byte
-	before struct {
+	mu       sync.Mutex
+	raw      []byte
+	previous struct {
 		version uint64
 		raw     []byte
 	}
 }
 
-// Load returns the table in force, or nil.
+// Load returns the active table, or nil.
 func (h *Holder) Load() *Table { return h.current.Load() }
 
-// Number returns the version in force, 0 before the first.
+// Number returns the active version, or 0 before the first one.
 func (h *Holder) Number() uint64 {
 	if t := h.current.Load(); t != nil {
 		return t.version
@@ -31,8 +31,8 @@
 	return 0
 }
 
-// Offer takes a table, with the bytes that it was decoded from, if it is newer
-// than the one in force, and reports whether it was.
+// Offer activates a table if it is newer than the active one, and reports whether it did.
+// The bytes that the table was decoded from are stored with it.
 func (h *Holder) Offer(t *Table, raw []byte) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,15 +41,15 @@
 		return false
 	}
 
-	h.before.version, h.before.raw = h.Number(), h.raw
+	h.previous.version, h.previous.raw = h.Number(), h.raw
 	h.raw = raw
 	h.current.Store(t)
 
 	return true
 }
 
-// Raw returns the version in force and the bytes that it was decoded from, for a
-// node that has no way to the store.
+// Raw returns the active version and the bytes that it was decoded from. They are sent to
+// nodes that can't reach the store.
 func (h *Holder) Raw() (uint64, []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -57,10 +57,10 @@
 	return h.Number(), h.raw
 }
 
-// Before returns the version that was in force before, and its bytes.
+// Before returns the previously active version and the bytes that it was decoded from.
 func (h *Holder) Before() (uint64, []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	return h.before.version, h.before.raw
+	return h.previous.version, h.previous.raw
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,9 +1,8 @@
-// Package route holds the routing of one accepted version as nodes use it: the
-// routes by host and path, the services that they lead to, and the limits towards
-// callers.
+// Package route implements the routing table of one configuration version: the routes by
+// host and path prefix, their destination services, and the limits for callers.
 //
-// A Table is built whole, checked whole and never changed after: a node holds all
-// of a version or none of it.
+// A Table is validated as a whole and immutable: a node applies a version completely or
+// not at all.
 //
 //	t, err := route.New(7, limits, services, routes)
 //	r, ok := t.Match("shop.example", "/cart/17")
@@ -18,43 +17,43 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// ErrTable is returned for routes that can't be used together.
+// ErrTable is returned for a version with invalid or conflicting routes.
 var ErrTable = errs.New("route.table", http.StatusUnprocessableEntity, "routes not accepted")
 
-// Destination is a service that a route leads to, with its share of the calls.
+// Destination is a service that a route sends calls to, with its weight.
 type Destination struct {
 	Service string
 	Weight  int
 }
 
-// Route is what holds for the calls of one host and path prefix.
+// Route configures the calls of one host and path prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	// Idempotent calls may run more than once, others at most once.
 	Idempotent bool
-	// Timeout bounds how long a caller is kept waiting, Target is the time within
-	// which an answer is worth most to it.
+	// Timeout bounds the time until the caller gets an answer. Target is the time within
+	// which an answer has its full value for the caller.
 	Timeout time.Duration
 	Target  time.Duration
-	// Attempts bounds the backend servers that one call is sent to.
+	// Attempts is the maximum number of backend servers that a call is sent to.
 	Attempts int
-	// Priority is the rank of the calls, 0 before all others.
+	// Priority is the rank of the calls; 0 is the most urgent.
 	Priority int
-	// Destinations share the calls by weight; there is at least one.
+	// Destinations has at least one element. Calls are distributed by weight.
 	Destinations []Destination
 }
 
-// Service is what is configured of a service.
+// Service is the configuration of a service.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is how many connections one backend server takes of all.
+	// MaxConnections is the number of connections that one backend server accepts in total.
 	MaxConnections int
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bounds the size of callers' requests and the time to send them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -62,7 +61,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is the routing of one version.
+// Table is the routing table of one version.
 type Table struct {
 	version  uint64
 	limits   Limits
@@ -70,14 +69,14 @@
 	hosts    map[string]*prefixes
 }
 
-// prefixes are the routes of one host, and the lengths of their prefixes, longest
-// first: hosts have a handful of lengths however many routes there are.
+// prefixes holds the routes of one host and the lengths of their prefixes, longest first.
+// A host has few different lengths even with many routes.
 type prefixes struct {
 	lengths []int
 	routes  map[string]*Route
 }
 
-// New checks the parts of a version and puts them together.
+// New validates the parts of a version and builds its table.
 func New(version uint64, limits Limits, services []Service, routes []*Route) (*Table, error) {
 	t := &Table{
 		version: version, limits: limits,
@@ -127,8 +126,8 @@
 	return nil
 }
 
-// check refuses a route that would send calls to a service that is not declared,
-// or nowhere.
+// check returns an error if the route has no valid host, prefix or timeout, no destination
+// with a weight, or a destination that is not declared.
 func (t *Table) check(r *Route) error {
 	if r.Host == "" || !strings.HasPrefix(r.Prefix, "/") {
 		return ErrTable.With("%s: host %q, prefix %q", r.Name, r.Host, r.Prefix)
@@ -155,21 +154,21 @@
 	return nil
 }
 
-// Version returns the number of the version.
+// Version returns the version number.
 func (t *Table) Version() uint64 { return t.version }
 
-// Limits returns the limits towards callers.
+// Limits returns the limits for callers.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Service returns what is configured of a service.
+// Service returns the configuration of a service, if it is declared.
 func (t *Table) Service(name string) (Service, bool) {
 	s, ok := t.services[name]
 
 	return s, ok
 }
 
-// Match returns the route with the longest prefix that begins the path, among
-// those of the host. A port in the host does not count.
+// Match returns the route of the host with the longest prefix of the path. A port in the
+// host is ignored.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	host, _, _ = strings.Cut(host, ":")
 
