--- a/internal/nestedcall/nestedcall.go
+++ b/internal/nestedcall/nestedcall.go
@@ -1,24 +1,24 @@
-// Package nestedcall tells the calls that backend servers make, while they run a call, from
-// those of callers outside.
+// Package nestedcall detects nested calls: calls that a backend server makes while it runs
+// a call itself.
 //
-// # What goes wrong without it
+// # Why
 //
-// A backend server that runs a call holds a slot while it waits for the call that it
-// made itself. If that one is turned away, the whole run has been for nothing, its
-// caller sends it again, and the load grows as the backend servers get slower. So
-// nested calls go ahead of all others; but nothing in a request says that it is one,
-// and it comes from the host's address, as those of callers do.
+// A backend server occupies a slot while it waits for the result of a nested call. If the
+// nested call is rejected, the work of the outer call is lost, its caller retries it, and
+// the load increases as backend servers get slower. So nested calls take precedence over all
+// others. A request does not show whether it is nested: like the calls of other callers on
+// the host, it comes from the host's address.
 //
-// # How they are told
+// # Detection
 //
-// Callers of a route are on hosts of all services. A route whose calls come from hosts
-// of one service only, while other routes' do not, is called by the backend servers of
-// that service.
+// Other callers of a route run on hosts of all services. A route whose calls come only from
+// hosts of one service, while the calls of other routes do not, is called by the backend
+// servers of that service.
 //
 // # Usage
 //
 //	routes := nestedcall.New()
-//	if routes.Note("check", "browse") { ... } // a call of this route is a nested one
+//	if routes.Note("check", "browse") { ... } // the call is nested
 package nestedcall
 
 import (
@@ -29,50 +29,51 @@
 )
 
 const (
-	// Enough calls of a route in a row come from hosts of one service for it to be
-	// called by their backend servers. Of callers on hosts of which three in five have
-	// the same service, one call in 200,000 ends such a row.
-	Enough = 24
-	// mixedWithin is how long ago calls of two services must have come: a node that
-	// only hears hosts of one service can't tell.
-	mixedWithin = 2 * time.Second
-	// maxRoutes bounds what is remembered of routes that are gone.
+	// MinConsecutive is the number of consecutive calls of a route from hosts of one service
+	// after which its calls count as nested. If three in five of the callers' hosts have the
+	// same service, one call in 200,000 completes such a run by chance.
+	MinConsecutive = 24
+	// mixedWindow is the time within which the calls of all routes must have come from hosts
+	// of at least two services. A node that gets calls from one service only can't
+	// distinguish nested calls.
+	mixedWindow = 2 * time.Second
+	// maxRoutes bounds the memory used for routes that no longer exist.
 	maxRoutes = 4096
 )
 
-// Routes knows by which services routes are called.
+// Routes detects routes that are called by the backend servers of one service.
 type Routes struct {
-	mu     sync.Mutex
-	rows   *bounded.Map[row]
-	origin string    // of the last call of any route
-	mixed  time.Time // when one came whose origin was another
+	mu        sync.Mutex
+	runs      *bounded.Map[run]
+	origin    string    // of the last call of any route
+	lastMixed time.Time // last change of origin
 }
 
-// row counts the last calls of a route that had the same origin.
-type row struct {
+// run counts the latest consecutive calls of a route that have the same origin.
+type run struct {
 	origin string
 	length int
 }
 
-// New returns routes that have seen no call.
-func New() *Routes { return &Routes{rows: bounded.New[row](maxRoutes)} }
+// New returns a detector without observations.
+func New() *Routes { return &Routes{runs: bounded.New[run](maxRoutes)} }
 
-// Note takes a call of a route that began on a host of a service, and reports whether
-// the route is called by backend servers of that service.
+// Note records a call of a route from a host of the service origin, and reports whether
+// the route is called by the backend servers of that service.
 func (r *Routes) Note(route, origin string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	if origin != r.origin {
-		r.origin, r.mixed = origin, time.Now()
+		r.origin, r.lastMixed = origin, time.Now()
 	}
 
-	w := r.rows.At(route)
-	if w.origin != origin {
-		w.origin, w.length = origin, 0
+	current := r.runs.At(route)
+	if current.origin != origin {
+		current.origin, current.length = origin, 0
 	}
 
-	w.length = min(w.length+1, Enough)
+	current.length = min(current.length+1, MinConsecutive)
 
-	return w.length == Enough && time.Since(r.mixed) < mixedWithin
+	return current.length == MinConsecutive && time.Since(r.lastMixed) < mixedWindow
 }
--- a/internal/nestedcall/nestedcall_test.go
+++ b/internal/nestedcall/nestedcall_test.go
@@ -11,36 +11,35 @@
 	"github.com/pollencart/pollencart/internal/nestedcall"
 )
 
-// callers are on hosts of these services, three in five of the same one.
+// origin returns the service of a random caller's host; three in five have the same one.
 func origin(r *rand.Rand) string {
 	return []string{"browse", "browse", "browse", "ledger", "finder"}[r.IntN(5)]
 }
 
-// Browse servers check permissions while they open folders. Their checks are told from
-// the uploads of callers at the same backend server, and uploads are never taken for
-// nested.
-func TestCallsOfBackendServersAreTold(t *testing.T) {
+// Browse servers check permissions while they open folders. These checks must be detected
+// as nested, and other callers' uploads to the same backend server must not.
+func TestDetectsCallsOfBackendServers(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	routes := nestedcall.New()
-	told, wrong := 0, 0
+	detected, falsePositives := 0, 0
 
 	for range 10000 {
 		if routes.Note("check", "browse") {
-			told++
+			detected++
 		}
 
 		if routes.Note("upload", origin(r)) {
-			wrong++
+			falsePositives++
 		}
 	}
 
-	assert.Assert(t, told > 10000-2*nestedcall.Enough, "%d", told)
-	assert.Equal(t, wrong, 0)
+	assert.Assert(t, detected > 10000-2*nestedcall.MinConsecutive, "%d", detected)
+	assert.Equal(t, falsePositives, 0)
 }
 
-// Only hosts of one service can reach the backend server, as in a small failure domain
-// that is cut off. Its callers are not taken for backend servers.
-func TestHostsOfOneServiceOnly(t *testing.T) {
+// Only hosts of one service can reach the backend server, as in a small partitioned failure
+// domain. Their calls must not count as nested.
+func TestNoCallIsNestedIfAllComeFromOneService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		routes := nestedcall.New()
 		routes.Note("upload", "ledger")
