--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,8 +1,8 @@
-// Package call holds the request and the answer as they pass through the pipe
-// of filters, at the entry node and at the gate node.
+// Package call defines the request and the answer that pass through the filter chains of
+// the entry node, which receives a call from its caller, and of the gate node, which is on
+// the backend server's host.
 //
-// Values are immutable: a filter that changes something makes a copy by a With
-// method and hands that on.
+// Values are immutable: a filter passes on a modified copy that it makes with a With method.
 //
 //	pipe := call.Chain(route, deadline, once, attempt)
 //	answer, err := pipe(ctx, c)
@@ -17,10 +17,10 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// ErrInvalid is returned for a message that does not check.
+// ErrInvalid is returned for a message with missing or invalid fields.
 var ErrInvalid = errs.New("call.invalid", http.StatusBadRequest, "call message not accepted")
 
-// Field is one header line.
+// Field is a header field.
 type Field struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -28,7 +28,7 @@
 	Value string
 }
 
-// Call is one request of a caller.
+// Call is a caller's request.
 type Call struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -50,22 +50,24 @@
 	Values     *settings.Values  `msgpack:"-"`
 	Remaining  settings.Duration `msgpack:"Remaining"`
 	Ticket     *Ticket           `msgpack:"Ticket,omitempty"`
-	// Life is the process that an entry took for the home of an opaque key.
+	// Life is the boot ID of the process that the entry node considers the owner of an
+	// opaque key, which is a key that names no owner.
 	Life string `msgpack:"Life,omitempty"`
-	// Crashes are those of backend servers that earlier attempts were running in.
+	// Crashes are the crashes of backend servers during earlier attempts of this call.
 	Crashes []Crash `msgpack:"Crashes,omitempty"`
 }
 
-// Crash names one end of one backend server.
+// Crash identifies a crash of a backend server.
 type Crash struct {
-	// Gate is the node that saw it, by its life, and Number counts there.
+	// Gate is the boot ID of the gate node that observed the crash, Number its sequence
+	// number there.
 	Gate   string `msgpack:"Gate"`
 	Number uint64 `msgpack:"Number"`
-	// Address is where the gate is asked for permission.
+	// Address is the gate's address for permission requests.
 	Address string `msgpack:"Address"`
 }
 
-// Check reports whether a decoded call can be used.
+// Check returns an error if a decoded call is invalid.
 func (c *Call) Check() error {
 	if c.ID == "" || c.Service == "" || c.Method == "" || c.URI == "" {
 		return ErrInvalid.With("ID, Service, Method or URI is missing")
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// WithRoute returns the call with the values of its route.
+// WithRoute returns the call with the settings of its route.
 func (c Call) WithRoute(r settings.Resolved, version uint64) Call {
 	c.Route = r.Path
 	c.Service = r.Values.Service
@@ -95,7 +97,7 @@
 	return c
 }
 
-// WithAttempt returns the call as it is sent for the nth time.
+// WithAttempt returns the call with the number of the attempt.
 func (c Call) WithAttempt(n int) Call {
 	c.Attempt = n
 
@@ -109,49 +111,49 @@
 	return c
 }
 
-// WithTicket returns the call as one attempt of its home.
+// WithTicket returns the call with an attempt ticket.
 func (c Call) WithTicket(t Ticket) Call {
 	c.Ticket = &t
 
 	return c
 }
 
-// WithCrashes returns the call with what is known of crashes that it was running in.
+// WithCrashes returns the call with the crashes during its earlier attempts.
 func (c Call) WithCrashes(crashes []Crash) Call {
 	c.Crashes = crashes
 
 	return c
 }
 
-// WithLife returns the call as it is meant for one process.
+// WithLife returns the call with the boot ID of the process that it is sent to.
 func (c Call) WithLife(life string) Call {
 	c.Life = life
 
 	return c
 }
 
-// WithRemaining returns the call with the time that is left.
+// WithRemaining returns the call with the time left until its deadline.
 func (c Call) WithRemaining(d time.Duration) Call {
 	c.Remaining = settings.Duration(d)
 
 	return c
 }
 
-// Ticket names one attempt of a call that must run at most once.
+// Ticket is an attempt ticket: it authorizes one attempt of a call that must run at most once.
 type Ticket struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
-	// Home is the life of the process that sends the attempt, Number the
-	// attempt; Home sends no number twice.
+	// Home is the boot ID of the process that sends the attempt, the owner of the key.
+	// Number identifies the attempt; the owner never uses a number twice.
 	Home   string `msgpack:"Home"`
 	Number uint64 `msgpack:"Number"`
-	// Low is the lowest number that Home still cares for.
+	// Low is the lowest number that is still in use by the owner.
 	Low uint64 `msgpack:"Low"`
-	// Epoch is the epoch of the gate that the attempt is meant for.
+	// Epoch is the epoch of the gate that the attempt is sent to.
 	Epoch string `msgpack:"Epoch"`
 }
 
-// Check reports whether a decoded ticket can be used.
+// Check returns an error if a decoded ticket is invalid.
 func (t *Ticket) Check() error {
 	if t.Home == "" || t.Number == 0 || t.Low > t.Number {
 		return ErrInvalid.With("ticket of home %q, number %d, low %d", t.Home, t.Number, t.Low)
@@ -160,21 +162,21 @@
 	return nil
 }
 
-// Ran says whether a backend server ran the call.
+// Ran is whether a backend server ran the call.
 type Ran string
 
-// The outcomes.
+// The values of Ran.
 const (
-	// RanNo is said only when no byte of the call reached a backend server and
-	// none will.
+	// RanNo means that no byte of the call has reached a backend server and none will.
 	RanNo Ran = "not-run"
 	// RanYes means that a backend server answered.
 	RanYes Ran = "ran"
-	// RanUnknown means that a backend server was reached and did not answer.
+	// RanUnknown means that a backend server was reached but did not answer, so the call
+	// may have run.
 	RanUnknown Ran = "unknown"
 )
 
-// Load is what a gate tells about its backend server with every answer.
+// Load is the load of a backend server, which its gate reports with every answer.
 type Load struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -183,18 +185,17 @@
 	Queued   int               `msgpack:"Queued"`
 	Wait     settings.Duration `msgpack:"Wait"`
 	Leaving  bool              `msgpack:"Leaving"`
-	// Work is what a call of each class has in front of it now: the calls in
-	// slots and those that wait in its class and in more urgent ones. Usual is
-	// the same, averaged over the last second.
+	// Work is the number of calls ahead of a new call, per class: the calls in slots and
+	// those queued in the same class and in more urgent ones. Usual is the average of Work
+	// over the last second.
 	Work  [settings.ClassCount]int     `msgpack:"Work"`
 	Usual [settings.ClassCount]float64 `msgpack:"Usual"`
-	// Waited and Held are the times that this call spent in the queue and in a
-	// slot.
+	// Waited is the queueing time of this call, Held its service time in a slot.
 	Waited settings.Duration `msgpack:"Waited"`
 	Held   settings.Duration `msgpack:"Held"`
 }
 
-// WithTimes returns the load with the times of one call.
+// WithTimes returns the load with the queueing and service time of a call.
 func (l Load) WithTimes(waited, held time.Duration) Load {
 	l.Waited = settings.Duration(waited)
 	l.Held = settings.Duration(held)
@@ -202,11 +203,11 @@
 	return l
 }
 
-// Answer is what the caller gets.
+// Answer is the answer to a call.
 type Answer struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
-	// Call is the ID of the call that this answers.
+	// Call is the ID of the answered call.
 	Call     string  `msgpack:"Call"`
 	Status   int     `msgpack:"Status"`
 	Header   []Field `msgpack:"Header"`
@@ -216,11 +217,11 @@
 	Load     Load    `msgpack:"Load"`
 	Repeat   bool    `msgpack:"Repeat,omitempty"`
 	Key      string  `msgpack:"Key,omitempty"`
-	// Attempts is how many times the call was sent to a gate.
+	// Attempts is the number of times that the call was sent to a gate.
 	Attempts int `msgpack:"Attempts"`
 }
 
-// WithKey returns the answer with the idempotency key that it belongs to.
+// WithKey returns the answer with its idempotency key.
 func (a Answer) WithKey(key string) Answer {
 	a.Key = key
 
@@ -234,35 +235,36 @@
 	return a
 }
 
-// WithRepeat marks the answer as one that an earlier run gave.
+// WithRepeat returns the answer marked as the stored result of an earlier request with the
+// same key.
 func (a Answer) WithRepeat() Answer {
 	a.Repeat = true
 
 	return a
 }
 
-// Refusal is the final answer to a call that was given up.
-type Refusal struct { //nolint:errname // a wire type, named as callers see it
+// Refusal is the reply to a call that was rejected or has failed without a usable answer.
+type Refusal struct { //nolint:errname // a wire type; callers use this name
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Fault      *errs.Error       `msgpack:"Fault"`
 	Ran        Ran               `msgpack:"Ran"`
 	RetryAfter settings.Duration `msgpack:"RetryAfter"`
 	Load       Load              `msgpack:"Load"`
-	// Key is set by the home of the key: what Ran says holds for the key, not
-	// only for this attempt.
+	// Key is set by the key's owner node. Ran then applies to all attempts with the key, not
+	// only to this one.
 	Key string `msgpack:"Key,omitempty"`
-	// NotForwarded says that this attempt did not get to the key's home; an
-	// earlier one may have run.
+	// NotForwarded is set if this attempt did not reach the key's owner node; an earlier
+	// attempt may have run.
 	NotForwarded bool `msgpack:"NotForwarded,omitempty"`
-	// Attempts is how many times the call was sent to a gate.
+	// Attempts is the number of times that the call was sent to a gate.
 	Attempts int `msgpack:"Attempts"`
-	// Crashes are those of backend servers that the call is known to have been running
-	// in. The next gate that gets it may not have heard of them yet.
+	// Crashes are the known crashes of backend servers that were running the call. The next
+	// gate that gets the call may not have learned of them yet.
 	Crashes []Crash `msgpack:"Crashes,omitempty"`
 }
 
-// Refuse returns a refusal.
+// Refuse returns a refusal with the given fault.
 func Refuse(fault error, ran Ran, retryAfter time.Duration) *Refusal {
 	return &Refusal{Fault: errs.From(fault), Ran: ran, RetryAfter: settings.Duration(retryAfter)}
 }
@@ -281,22 +283,21 @@
 	return &r
 }
 
-// WithCrashes returns the refusal with what is known of crashes.
+// WithCrashes returns the refusal with the known crashes.
 func (r Refusal) WithCrashes(crashes []Crash) *Refusal {
 	r.Crashes = crashes
 
 	return &r
 }
 
-// WithKey returns the refusal as the home's word on a key.
+// WithKey returns the refusal as the owner node's reply for a key.
 func (r Refusal) WithKey(key string) *Refusal {
 	r.Key = key
 
 	return &r
 }
 
-// WithNotForwarded returns the refusal as it must be told of a key whose home
-// was not asked.
+// WithNotForwarded returns the refusal of a call that did not reach its key's owner node.
 func (r Refusal) WithNotForwarded() *Refusal {
 	r.Ran = RanUnknown
 	r.NotForwarded = true
@@ -310,13 +311,13 @@
 // Unwrap returns the fault.
 func (r *Refusal) Unwrap() error { return r.Fault }
 
-// Handler takes a call to its answer.
+// Handler processes a call and returns its answer.
 type Handler func(ctx context.Context, c Call) (Answer, error)
 
-// Filter is one stage of the pipe.
+// Filter wraps a handler as one stage of a chain.
 type Filter func(next Handler) Handler
 
-// Chain makes one handler of the filters, first to last, and the end.
+// Chain returns a handler that runs the filters in order and then end.
 func Chain(end Handler, filters ...Filter) Handler {
 	for i := len(filters) - 1; i >= 0; i-- {
 		end = filters[i](end)
