--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -50,9 +50,9 @@
 	Values     *settings.Values  `msgpack:"-"`
 	Remaining  settings.Duration `msgpack:"Remaining"`
 	Ticket     *Ticket           `msgpack:"Ticket,omitempty"`
-	// Life is the boot ID of the process that the entry node considers the owner of an
+	// BootID is the boot ID of the process that the entry node considers the owner of an
 	// opaque key, which is a key that names no owner.
-	Life string `msgpack:"Life,omitempty"`
+	BootID string `msgpack:"Life,omitempty"`
 	// Crashes are the crashes of backend servers during earlier attempts of this call.
 	Crashes []Crash `msgpack:"Crashes,omitempty"`
 }
@@ -127,7 +127,7 @@
 
 // WithLife returns the call with the boot ID of the process that it is sent to.
 func (c Call) WithLife(life string) Call {
-	c.Life = life
+	c.BootID = life
 
 	return c
 }
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -173,7 +173,7 @@
 		return record.Key{}, ErrLeaving.With("%s", h.node)
 	}
 
-	if !own.Mine || c.Life != h.life {
+	if !own.Mine || c.BootID != h.life {
 		return record.Key{}, ErrNotHome.With("%s", h.node)
 	}
 
