--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -125,9 +125,9 @@
 	return c
 }
 
-// WithLife returns the call with the boot ID of the process that it is sent to.
-func (c Call) WithLife(life string) Call {
-	c.BootID = life
+// WithBootID returns the call with the boot ID of the process that it is sent to.
+func (c Call) WithBootID(bootID string) Call {
+	c.BootID = bootID
 
 	return c
 }
--- a/internal/frontend/once.go
+++ b/internal/frontend/once.go
@@ -103,7 +103,7 @@
 		return call.Answer{}, err
 	}
 
-	c = c.WithLife(life)
+	c = c.WithBootID(life)
 
 	if node == e.options.Node {
 		return next(ctx, c)
