--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -130,20 +130,20 @@
 	Abandoned
 )
 
-// Placer selects nodes by what this node has observed of them.
-type Placer struct {
+// Balancer selects nodes by what this node has observed of them.
+type Balancer struct {
 	mu     sync.Mutex
 	nodes  map[string]*node
 	routes map[string]*routeStats
 }
 
-// New returns a placer without observations.
-func New() *Placer {
-	return &Placer{nodes: map[string]*node{}, routes: map[string]*routeStats{}}
+// New returns a balancer without observations.
+func New() *Balancer {
+	return &Balancer{nodes: map[string]*node{}, routes: map[string]*routeStats{}}
 }
 
 // Pick returns the node to send the call to, or false if there is none.
-func (p *Placer) Pick(candidates []Candidate, n Need) (Candidate, bool) {
+func (p *Balancer) Pick(candidates []Candidate, n Need) (Candidate, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -193,7 +193,7 @@
 }
 
 // cheaper returns the candidate with the lower cost of the two that were sampled.
-func (p *Placer) cheaper(d reservoir.Two[sampled], n Need, now time.Time) cheapest {
+func (p *Balancer) cheaper(d reservoir.Two[sampled], n Need, now time.Time) cheapest {
 	var out cheapest
 
 	both, count := d.Both()
@@ -212,7 +212,7 @@
 
 // chooseDomain returns the candidate of another failure domain if it reduces the
 // expected loss by more than the crossing costs.
-func (p *Placer) chooseDomain(near, far cheapest, n Need) (Candidate, bool) {
+func (p *Balancer) chooseDomain(near, far cheapest, n Need) (Candidate, bool) {
 	switch {
 	case near.candidate == nil:
 		return far.get()
@@ -249,7 +249,7 @@
 }
 
 // Start records that a call is sent to a node.
-func (p *Placer) Start(id, route string) Attempt {
+func (p *Balancer) Start(id, route string) Attempt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -257,5 +257,5 @@
 	m.used = true
 	m.inFlight++
 
-	return Attempt{placer: p, node: m, route: route}
+	return Attempt{balancer: p, node: m, route: route}
 }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -31,7 +31,7 @@
 
 // run sends calls sequentially; handle returns a node's result and service time. It
 // returns the number of calls per node.
-func run(p *balancer.Placer, c []balancer.Candidate, calls int, handle func(id string) (balancer.Result, time.Duration)) map[string]int {
+func run(p *balancer.Balancer, c []balancer.Candidate, calls int, handle func(id string) (balancer.Result, time.Duration)) map[string]int {
 	got := map[string]int{}
 
 	for range calls {
--- a/internal/balancer/node.go
+++ b/internal/balancer/node.go
@@ -71,7 +71,7 @@
 	backoff     time.Duration
 }
 
-func (p *Placer) shouldProbe(m *node, n Need, now time.Time) bool {
+func (p *Balancer) shouldProbe(m *node, n Need, now time.Time) bool {
 	switch {
 	case !m.used:
 		return rand.IntN(unusedProbeOdds) == 0
@@ -92,7 +92,7 @@
 }
 
 // expected returns the estimated time until a call is answered.
-func (p *Placer) expected(m *node, c *Candidate, n Need, now time.Time) time.Duration {
+func (p *Balancer) expected(m *node, c *Candidate, n Need, now time.Time) time.Duration {
 	serviceTime := time.Duration(float64(p.routeStats(n.Route).mean) * m.slowdown)
 	wait := time.Duration(0)
 
@@ -112,7 +112,7 @@
 	return time.Duration(float64(serviceTime+queueWaitFactor*wait) * jitter)
 }
 
-func (p *Placer) routeStats(route string) *routeStats {
+func (p *Balancer) routeStats(route string) *routeStats {
 	if s, ok := p.routes[route]; ok {
 		return s
 	}
@@ -120,7 +120,7 @@
 	return &routeStats{mean: defaultServiceTime, deviation: defaultServiceTime / 2}
 }
 
-func (p *Placer) node(id string) *node {
+func (p *Balancer) node(id string) *node {
 	m := p.nodes[id]
 	if m == nil {
 		m = &node{slowdown: 1}
@@ -132,14 +132,14 @@
 
 // Attempt is a call in flight to a node.
 type Attempt struct {
-	placer *Placer
-	node   *node
-	route  string
+	balancer *Balancer
+	node     *node
+	route    string
 }
 
 // End records the result of the attempt. It reports whether the node is avoided from now on.
 func (a Attempt) End(r Result, reply forward.Reply) (avoided bool) {
-	p, m := a.placer, a.node
+	p, m := a.balancer, a.node
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,7 +164,7 @@
 	return false
 }
 
-func (m *node) answered(p *Placer, route string, serviceTime time.Duration, answerBytes int) {
+func (m *node) answered(p *Balancer, route string, serviceTime time.Duration, answerBytes int) {
 	m.failureRate -= m.failureRate / smoothing
 	m.backoff = 0
 	m.avoidUntil = time.Time{}
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -62,7 +62,7 @@
 		Route: t.route.Name, Rank: t.request.Rank, Target: t.worthIn(), Deadline: t.left(), Bytes: len(t.request.Body),
 		Idempotent: t.request.Idempotent, Tried: t.busy,
 	}
-	placer := t.dispatcher.options.Placer
+	placer := t.dispatcher.options.Balancer
 
 	c, ok := placer.Pick(candidates, need)
 	if !ok && len(t.busy) > 0 {
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -132,7 +132,7 @@
 func recorded(f *fleet, h *route.Holder, r *timeline.Recorder) *dispatch.Dispatcher {
 	return dispatch.New(dispatch.Options{
 		Node: "me", FailureDomain: "derby", Service: "finder", Names: header.Default(), Tables: h, Members: f, Peers: f, Own: nil,
-		Placer: balancer.New(), Budget: retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}), Recorder: r,
+		Balancer: balancer.New(), Budget: retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}), Recorder: r,
 		Intake: f.intake,
 	})
 }
--- a/internal/dispatch/options.go
+++ b/internal/dispatch/options.go
@@ -67,7 +67,7 @@
 	Members  Members
 	Peers    Peers
 	Own      Runner
-	Placer   *balancer.Placer
+	Balancer *balancer.Balancer
 	Budget   *retrybudget.Budget
 	Recorder *timeline.Recorder
 	Intake   Intake
--- a/internal/dispatch/reach_test.go
+++ b/internal/dispatch/reach_test.go
@@ -34,7 +34,7 @@
 
 	return dispatch.New(dispatch.Options{
 		Node: "host-of-the-caller", FailureDomain: "derby-0", Service: "finder", Names: header.Default(), Tables: holder(tb), Members: table,
-		Peers: f, Placer: balancer.New(), Budget: retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}),
+		Peers: f, Balancer: balancer.New(), Budget: retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}),
 		Recorder: timeline.New(), Intake: drain.New(),
 	}), f, table
 }
--- a/internal/dispatch/try.go
+++ b/internal/dispatch/try.go
@@ -77,7 +77,7 @@
 
 	t.request.TargetMs = time.Until(t.target).Milliseconds()
 
-	attempt := d.options.Placer.Start(c.ID, t.route.Name)
+	attempt := d.options.Balancer.Start(c.ID, t.route.Name)
 	reply, err := t.send(c)
 	result := t.resultOf(reply, err)
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -163,7 +163,7 @@
 	c := n.config
 	n.entry = dispatch.New(dispatch.Options{
 		Node: c.Node, FailureDomain: c.FailureDomain, Service: c.Service, Names: platform.Headers(), Tables: n.holder,
-		Members: n.table, Peers: n.client, Own: n.runner, Placer: balancer.New(), Recorder: n.recorder, Meter: n.meter,
+		Members: n.table, Peers: n.client, Own: n.runner, Balancer: balancer.New(), Recorder: n.recorder, Meter: n.meter,
 		Budget: n.budget, Intake: n.intake,
 	})
 	n.ingress = ingress.New(n.entry, ingress.Limits(n.holder), ingress.WithObserver(deliveries{n.recorder, n.meter}))
