--- a/internal/nestedcall/nestedcall.go
+++ b/internal/nestedcall/nestedcall.go
@@ -17,8 +17,8 @@
 //
 // # Usage
 //
-//	routes := nestedcall.New()
-//	if routes.Note("check", "browse") { ... } // the call is nested
+//	detector := nestedcall.New()
+//	if detector.Note("check", "browse") { ... } // the call is nested
 package nestedcall
 
 import (
@@ -41,8 +41,8 @@
 	maxRoutes = 4096
 )
 
-// Routes detects routes that are called by the backend servers of one service.
-type Routes struct {
+// Detector detects routes that are called by the backend servers of one service.
+type Detector struct {
 	mu        sync.Mutex
 	runs      *bounded.Map[run]
 	origin    string    // of the last call of any route
@@ -56,24 +56,24 @@
 }
 
 // New returns a detector without observations.
-func New() *Routes { return &Routes{runs: bounded.New[run](maxRoutes)} }
+func New() *Detector { return &Detector{runs: bounded.New[run](maxRoutes)} }
 
 // Note records a call of a route from a host of the service origin, and reports whether
 // the route is called by the backend servers of that service.
-func (r *Routes) Note(route, origin string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (d *Detector) Note(route, origin string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 
-	if origin != r.origin {
-		r.origin, r.lastMixed = origin, time.Now()
+	if origin != d.origin {
+		d.origin, d.lastMixed = origin, time.Now()
 	}
 
-	current := r.runs.At(route)
+	current := d.runs.At(route)
 	if current.origin != origin {
 		current.origin, current.length = origin, 0
 	}
 
 	current.length = min(current.length+1, MinConsecutive)
 
-	return current.length == MinConsecutive && time.Since(r.lastMixed) < mixedWindow
+	return current.length == MinConsecutive && time.Since(d.lastMixed) < mixedWindow
 }
--- a/internal/nestedcall/nestedcall_test.go
+++ b/internal/nestedcall/nestedcall_test.go
@@ -20,15 +20,15 @@
 // as nested, and other callers' uploads to the same backend server must not.
 func TestDetectsCallsOfBackendServers(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	routes := nestedcall.New()
+	detector := nestedcall.New()
 	detected, falsePositives := 0, 0
 
 	for range 10000 {
-		if routes.Note("check", "browse") {
+		if detector.Note("check", "browse") {
 			detected++
 		}
 
-		if routes.Note("upload", origin(r)) {
+		if detector.Note("upload", origin(r)) {
 			falsePositives++
 		}
 	}
@@ -41,13 +41,13 @@
 // domain. Their calls must not count as nested.
 func TestNoCallIsNestedIfAllComeFromOneService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		routes := nestedcall.New()
-		routes.Note("upload", "ledger")
-		routes.Note("upload", "browse")
+		detector := nestedcall.New()
+		detector.Note("upload", "ledger")
+		detector.Note("upload", "browse")
 		time.Sleep(2 * time.Second)
 
 		for range 100 {
-			assert.Assert(t, !routes.Note("upload", "browse"))
+			assert.Assert(t, !detector.Note("upload", "browse"))
 		}
 	})
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -61,7 +61,7 @@
 // Runner runs calls on one backend server.
 type Runner struct {
 	options    Options
-	nestedcall *nestedcall.Routes
+	nestedcall *nestedcall.Detector
 	closed     atomic.Bool
 	busy       atomic.Int64
 }
