--- a/internal/nestedcall/nestedcall.go
+++ b/internal/nestedcall/nestedcall.go
@@ -18,7 +18,7 @@
 // # Usage
 //
 //	detector := nestedcall.New()
-//	if detector.Note("check", "browse") { ... } // the call is nested
+//	if detector.Observe("check", "browse") { ... } // the call is nested
 package nestedcall
 
 import (
@@ -58,9 +58,9 @@
 // New returns a detector without observations.
 func New() *Detector { return &Detector{runs: bounded.New[run](maxRoutes)} }
 
-// Note records a call of a route from a host of the service origin, and reports whether
+// Observe records a call of a route from a host of the service origin, and reports whether
 // the route is called by the backend servers of that service.
-func (d *Detector) Note(route, origin string) bool {
+func (d *Detector) Observe(route, origin string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
--- a/internal/nestedcall/nestedcall_test.go
+++ b/internal/nestedcall/nestedcall_test.go
@@ -24,11 +24,11 @@
 	detected, falsePositives := 0, 0
 
 	for range 10000 {
-		if detector.Note("check", "browse") {
+		if detector.Observe("check", "browse") {
 			detected++
 		}
 
-		if detector.Note("upload", origin(r)) {
+		if detector.Observe("upload", origin(r)) {
 			falsePositives++
 		}
 	}
@@ -42,12 +42,12 @@
 func TestNoCallIsNestedIfAllComeFromOneService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		detector := nestedcall.New()
-		detector.Note("upload", "ledger")
-		detector.Note("upload", "browse")
+		detector.Observe("upload", "ledger")
+		detector.Observe("upload", "browse")
 		time.Sleep(2 * time.Second)
 
 		for range 100 {
-			assert.Assert(t, !detector.Note("upload", "browse"))
+			assert.Assert(t, !detector.Observe("upload", "browse"))
 		}
 	})
 }
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -103,7 +103,7 @@
 	w := slots.Work{
 		Route: in.Route, Rank: in.Rank, Target: now.Add(in.Target()), Deadline: now.Add(in.Remaining()), Elsewhere: in.Elsewhere,
 		Nearby: in.Nearby,
-		Nested: r.nestedcall.Note(in.Route, in.Origin),
+		Nested: r.nestedcall.Observe(in.Route, in.Origin),
 	}
 
 	if w.Nested {
