--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -51,7 +51,7 @@
 	// of a call's value: 0.04 per kilobyte. A call that loses half its value when late
 	// crosses with an answer of 1.5 kB if that raises its chance to be on time by one in six.
 	crossingCostPerByte = 0.04 / 1024
-	// callOverheadBytes is sent for a call and its reply beside their bodies: 190 bytes
+	// callOverheadBytes is sent for a call and its reply in addition to their bodies: 190 bytes
 	// each, and 40 for packet headers.
 	callOverheadBytes = 460
 	// lateLoss is the fraction of a call's value that is lost past its target.
--- a/internal/dispatch/balance_test.go
+++ b/internal/dispatch/balance_test.go
@@ -235,8 +235,9 @@
 func (p played) entry(f *fleet, h *route.Holder, i int) *dispatch.Dispatcher {
 	return dispatch.New(dispatch.Options{
 		Node: "e" + strconv.Itoa(i), FailureDomain: p.domain(i), Service: p.domain(i), Names: header.Default(), Tables: h, Members: f, Peers: f,
-		Balancer: balancer.New(), Budget: retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}), Recorder: timeline.New(),
-		Intake: drain.New(),
+		Balancer: balancer.New(), Budget: retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}),
+		Recorder: timeline.New(),
+		Intake:   drain.New(),
 	})
 }
 
