--- a/internal/slots/estimate.go
+++ b/internal/slots/estimate.go
@@ -5,84 +5,86 @@
 	"time"
 )
 
-// use is the slot time that calls of a rank took lately.
-type use struct {
-	held time.Duration
-	at   time.Time
+// usage is the recent slot time of a rank's calls, with exponential decay.
+type usage struct {
+	slotTime time.Duration
+	updated  time.Time
 }
 
-// lately is over how long the use of slots by urgent calls is averaged: longer than
-// most calls, shorter than a burst.
-const lately = time.Second
+// usageWindow is the time constant for averaging slot usage per rank: longer than most
+// calls, shorter than a burst.
+const usageWindow = time.Second
 
-// ranks is how many ranks are told apart; less urgent ones count as the last.
-const ranks = 8
+// rankCount is the number of ranks with separate statistics; less urgent ranks share the last.
+const rankCount = 8
 
-// rankOf is the rank under which a call is counted.
-func rankOf(w Work) int {
+// rankIndex returns the index of the statistics that count the call. Nested calls count as the
+// most urgent rank.
+func rankIndex(w Work) int {
 	if w.Nested {
 		return 0
 	}
 
-	return min(max(w.Rank, 0), ranks-1)
+	return min(max(w.Rank, 0), rankCount-1)
 }
 
-func (u *use) now(now time.Time) time.Duration {
-	if u.at.IsZero() {
+func (u *usage) now(now time.Time) time.Duration {
+	if u.updated.IsZero() {
 		return 0
 	}
 
-	return time.Duration(float64(u.held) * math.Exp(-float64(now.Sub(u.at))/float64(lately)))
+	return time.Duration(float64(u.slotTime) * math.Exp(-float64(now.Sub(u.updated))/float64(usageWindow)))
 }
 
-func (u *use) add(held time.Duration, now time.Time) {
-	u.held, u.at = u.now(now)+held, now
+func (u *usage) add(slotTime time.Duration, now time.Time) {
+	u.slotTime, u.updated = u.now(now)+slotTime, now
 }
 
-// left is the part of the slots that calls more urgent than the rank leave, as they
-// came lately. They pass those that wait; without this a call of a low rank is told
-// a wait that it never gets.
-func (q *Queue) left(rank int, now time.Time) float64 {
+// availableShare returns the share of the slots that more urgent ranks leave free, based on
+// their recent usage. Calls of those ranks overtake waiting ones; an estimate that ignores
+// them is too short for a low rank.
+func (q *Queue) availableShare(rank int, now time.Time) float64 {
 	taken := 0.0
 	for i := range rank {
-		taken += float64(q.use[i].now(now))
+		taken += float64(q.usage[i].now(now))
 	}
 
-	return max(1-taken/(float64(lately)*float64(q.slots)), 1.0/FairEvery)
+	return max(1-taken/(float64(usageWindow)*float64(q.slots)), 1.0/StarvedStartInterval)
 }
 
-// wait estimates how long the call would wait, by dealing what runs and what is in
-// front of it to the slots as they get free. The mean over all slots would say that
-// a short call has to wait for half of a long one, however many of them run.
-func (q *Queue) wait(s *Slot, now time.Time) time.Duration {
+// expectedWait estimates how long the call waits for a slot. It assigns the running calls and
+// those ahead in the queue to the slots, each to the slot that becomes free first. The mean
+// over all slots would overestimate the wait: behind long calls, a short call would appear
+// to wait for half of one, however many slots there are.
+func (q *Queue) expectedWait(s *Slot, now time.Time) time.Duration {
 	if len(q.running)+len(q.waiting) < q.slots {
 		return 0
 	}
 
-	rank := rankOf(s.work)
-	starved := q.letIn[rank] < StarvedAt
-	left := q.left(rank, now)
+	rank := rankIndex(s.work)
+	starved := q.admittedShare[rank] < MinAdmittedShare
+	availableShare := q.availableShare(rank, now)
 
 	if starved {
-		left = 1.0 / FairEvery
+		availableShare = 1.0 / StarvedStartInterval
 	}
 
-	free := q.remaining(now)
+	free := q.slotFreeTimes(now)
 
 	for _, o := range q.waiting {
-		if o.before(s, now) && (!starved || rankOf(o.work) == rank) {
-			*earliest(free) += o.size
+		if o.before(s, now) && (!starved || rankIndex(o.work) == rank) {
+			*earliestFree(free) += o.serviceTime
 		}
 	}
 
-	return time.Duration(float64(*earliest(free)) / left)
+	return time.Duration(float64(*earliestFree(free)) / availableShare)
 }
 
-// remaining returns when each slot gets free.
-func (q *Queue) remaining(now time.Time) []time.Duration {
+// slotFreeTimes returns the time until each slot becomes free.
+func (q *Queue) slotFreeTimes(now time.Time) []time.Duration {
 	free := make([]time.Duration, 0, max(q.slots, len(q.running)))
 	for r := range q.running {
-		free = append(free, max(r.size-now.Sub(r.began), r.size/leastPart))
+		free = append(free, max(r.serviceTime-now.Sub(r.started), r.serviceTime/minRemainingDivisor))
 	}
 
 	for len(free) < q.slots {
@@ -92,7 +94,7 @@
 	return free
 }
 
-func earliest(free []time.Duration) *time.Duration {
+func earliestFree(free []time.Duration) *time.Duration {
 	best := 0
 
 	for i, d := range free {
@@ -104,48 +106,48 @@
 	return &free[best]
 }
 
-// size returns the usual time of a route's calls, and how much longer most of them
-// take at the most.
-func (q *Queue) size(route string, now time.Time) (usual, spare time.Duration) {
-	if s, ok := q.sizes.Get(route); ok {
-		return s.mean, time.Duration(q.deviations(now) * float64(s.deviation))
+// serviceTime returns the expected service time of a route's calls and a margin that most
+// calls don't exceed.
+func (q *Queue) serviceTime(route string, now time.Time) (expected, margin time.Duration) {
+	if s, ok := q.serviceTimes.Get(route); ok {
+		return s.mean, time.Duration(q.marginDeviations(now) * float64(s.deviation))
 	}
 
-	return unknownSize, 0
+	return defaultServiceTime, 0
 }
 
-// deviations is how many of them a call is given to spare.
-func (q *Queue) deviations(now time.Time) float64 {
-	if len(q.waiting) > 0 && now.Sub(q.since) > standingAfter {
-		return standingDeviations
+// marginDeviations returns the margin in mean deviations of the service time.
+func (q *Queue) marginDeviations(now time.Time) float64 {
+	if len(q.waiting) > 0 && now.Sub(q.waitingSince) > standingQueueAfter {
+		return standingMarginDeviations
 	}
 
-	return spareDeviations
+	return burstMarginDeviations
 }
 
-func (q *Queue) learn(route string, took time.Duration) {
-	q.sizes.At(route).learn(took)
+func (q *Queue) observe(route string, took time.Duration) {
+	q.serviceTimes.At(route).observe(took)
 }
 
-// size is the usual time of a route's calls here.
-type size struct {
+// serviceTimeEstimate is the observed service time of a route's calls at this backend server.
+type serviceTimeEstimate struct {
 	mean      time.Duration
-	deviation time.Duration // from the mean, either way
-	seen      int
+	deviation time.Duration // mean absolute deviation
+	samples   int
 }
 
-// learn takes the mean of the first calls, then follows with smoothing.
-func (s *size) learn(took time.Duration) {
-	if s.seen < smoothing {
-		s.seen++
+// observe takes the plain mean of the first samples and an exponential moving average after that.
+func (s *serviceTimeEstimate) observe(took time.Duration) {
+	if s.samples < serviceTimeSamples {
+		s.samples++
 	} else {
-		took = min(took, clip*s.mean)
+		took = min(took, maxSampleFactor*s.mean)
 	}
 
 	off := took - s.mean
-	s.mean += off / time.Duration(s.seen)
+	s.mean += off / time.Duration(s.samples)
 
-	if s.seen > 1 {
-		s.deviation += (off.Abs() - s.deviation) / time.Duration(s.seen)
+	if s.samples > 1 {
+		s.deviation += (off.Abs() - s.deviation) / time.Duration(s.samples)
 	}
 }
--- a/internal/slots/load.go
+++ b/internal/slots/load.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Load is what the queue holds.
+// Load is a snapshot of the queue's occupancy.
 type Load struct {
 	Slots   int
 	Running int
 	Waiting int
 }
 
-// Load tells what the queue holds.
+// Load returns the current occupancy.
 func (q *Queue) Load() Load {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -17,7 +17,7 @@
 	return Load{Slots: q.slots, Running: len(q.running), Waiting: len(q.waiting)}
 }
 
-// Wait estimates how long a call of the work's route would wait at a rank.
+// Wait estimates how long a call of the work's route would wait at the given rank.
 func (q *Queue) Wait(w Work, rank int) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -29,12 +29,12 @@
 	now := time.Now()
 	w.Rank = rank
 	s := &Slot{work: w}
-	s.size, s.spare = q.size(w.Route, now)
+	s.serviceTime, s.margin = q.serviceTime(w.Route, now)
 
-	return q.wait(s, now)
+	return q.expectedWait(s, now)
 }
 
-// Busy returns how many calls run or wait.
+// Busy returns the number of running and waiting calls.
 func (q *Queue) Busy() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -42,8 +42,8 @@
 	return len(q.running) + len(q.waiting)
 }
 
-// RetryAfter returns when a call of this work is likely to find a slot in time:
-// when what is over its limit will have been worked off.
+// RetryAfter estimates when a retry of this call is likely to get a slot: after the current
+// backlog has drained.
 func (q *Queue) RetryAfter(w Work) time.Duration {
-	return min(max(q.Wait(w, w.Rank), shortestRetry), longestRetry)
+	return min(max(q.Wait(w, w.Rank), minRetryAfter), maxRetryAfter)
 }
--- a/internal/slots/order.go
+++ b/internal/slots/order.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// note counts a call of a rank that was let in (1) or turned away (0).
-func (q *Queue) note(w Work, in float64) {
-	share := &q.letIn[rankOf(w)]
-	*share += (in - *share) / fairSmoothing
+// recordOutcome updates the admitted share of the call's rank: 1 for an admitted call, 0 for a
+// rejected one.
+func (q *Queue) recordOutcome(w Work, admitted float64) {
+	share := &q.admittedShare[rankIndex(w)]
+	*share += (admitted - *share) / admittedShareSamples
 }
 
-// inVain reports whether a waiting call has no prospect any more: it can't end before
-// its deadline, or it is not sure to be on time and enough of those wait already.
-func (q *Queue) inVain(s *Slot) bool {
+// hopeless reports whether a waiting call should be rejected: it can't end before its
+// deadline, or too many waiting calls are likely to miss their target.
+func (q *Queue) hopeless(s *Slot) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
 	now := time.Now()
 
-	return !now.Add(s.size).Before(s.work.Deadline) || q.late(now) > q.mostLate()
+	return !now.Add(s.serviceTime).Before(s.work.Deadline) || q.countNotOnTime(now) > q.maxNotOnTime()
 }
 
-// mostLate is how many calls may wait that are not sure to be on time.
-func (q *Queue) mostLate() int { return max(q.slots/latePart, 1) }
+// maxNotOnTime returns how many calls may wait that are not expected to meet their target.
+func (q *Queue) maxNotOnTime() int { return max(q.slots/notOnTimeDivisor, 1) }
 
-// judge decides whether a call that has to wait may. One that is on time unless it is
-// longer than usual takes the place of one with a smaller chance.
-func (q *Queue) judge(s *Slot, now time.Time, wait time.Duration) error {
-	end := now.Add(wait + s.size)
+// evaluateWait decides whether a call that can't start at once may wait. A call that meets its
+// target only if it is not longer than expected may replace a waiting call that is less
+// likely to meet its own.
+func (q *Queue) evaluateWait(s *Slot, now time.Time, wait time.Duration) error {
+	end := now.Add(wait + s.serviceTime)
 
 	switch {
-	case !end.Add(s.spare).After(s.work.Target):
-		return s.waits(wait)
+	case !end.Add(s.margin).After(s.work.Target):
+		return s.checkNearbyWait(wait)
 	case s.work.Elsewhere:
 		return ErrElsewhere
 	case end.After(s.work.Deadline):
 		return ErrTooLate
-	case q.late(now) < q.mostLate():
+	case q.countNotOnTime(now) < q.maxNotOnTime():
 		return nil
 	case !end.After(s.work.Target):
 		return q.replace(s, now)
@@ -46,16 +48,17 @@
 	return ErrTooLate
 }
 
-// waits turns a call that would be on time away if it may find a free slot nearby.
-func (s *Slot) waits(wait time.Duration) error {
-	if s.work.Nearby && wait > time.Duration(waitTimes*float64(s.size)) {
+// checkNearbyWait rejects a call whose wait is long if a node of the same failure domain may
+// have a free slot.
+func (s *Slot) checkNearbyWait(wait time.Duration) error {
+	if s.work.Nearby && wait > time.Duration(maxWaitFactor*float64(s.serviceTime)) {
 		return ErrWaits
 	}
 
 	return nil
 }
 
-// replace turns away the waiting call with the least chance, if the other's is better.
+// replace rejects the last waiting call in start order if the given call precedes it.
 func (q *Queue) replace(s *Slot, now time.Time) error {
 	worst := -1
 
@@ -71,18 +74,18 @@
 	}
 
 	q.waiting = slices.Delete(q.waiting, worst, worst+1)
-	q.note(o.work, 0)
-	o.granted <- ErrTooLate
+	q.recordOutcome(o.work, 0)
+	o.decision <- ErrTooLate
 
 	return nil
 }
 
-// late counts the waiting calls that are not sure to be on time.
-func (q *Queue) late(now time.Time) int {
+// countNotOnTime counts the waiting calls that are not expected to meet their target.
+func (q *Queue) countNotOnTime(now time.Time) int {
 	count := 0
 
 	for _, o := range q.waiting {
-		if o.prospect(now) != onTime {
+		if o.prospect(now) != runOnTimeShare {
 			count++
 		}
 	}
@@ -90,19 +93,19 @@
 	return count
 }
 
-// next takes the call out of the queue that starts next.
-func (q *Queue) next(now time.Time) *Slot {
-	q.starts++
+// dequeue removes and returns the call that starts next.
+func (q *Queue) dequeue(now time.Time) *Slot {
+	q.startCount++
 
-	only := -1
-	if q.starts%FairEvery == 0 {
-		only = q.starved()
+	onlyRank := -1
+	if q.startCount%StarvedStartInterval == 0 {
+		onlyRank = q.starvedRank()
 	}
 
 	best := -1
 
 	for i, o := range q.waiting {
-		if only >= 0 && rankOf(o.work) != only {
+		if onlyRank >= 0 && rankIndex(o.work) != onlyRank {
 			continue
 		}
 
@@ -117,22 +120,21 @@
 	return s
 }
 
-// starved returns the rank of a waiting call of whose kind the least was let in, if
-// it is too little, or -1.
-func (q *Queue) starved() int {
-	starved, least := -1, StarvedAt
+// starvedRank returns the rank with the lowest admitted share among the waiting calls if that
+// share is below MinAdmittedShare, or -1.
+func (q *Queue) starvedRank() int {
+	starvedRank, least := -1, MinAdmittedShare
 
 	for _, o := range q.waiting {
-		if r := rankOf(o.work); q.letIn[r] < least {
-			starved, least = r, q.letIn[r]
+		if candidate := rankIndex(o.work); q.admittedShare[candidate] < least {
+			starvedRank, least = candidate, q.admittedShare[candidate]
 		}
 	}
 
-	return starved
+	return starvedRank
 }
 
-// before orders nested calls before others, calls by rank, then by when they have to
-// start.
+// before orders nested calls before others, then by rank, then by startsBefore.
 func (s *Slot) before(o *Slot, now time.Time) bool {
 	if s.work.Nested != o.work.Nested {
 		return s.work.Nested
@@ -142,69 +144,69 @@
 		return s.work.Rank < o.work.Rank
 	}
 
-	return s.sooner(o, now)
+	return s.startsBefore(o, now)
 }
 
-// prospect is what may become of a call that starts now.
+// prospect is the expected outcome of a call that starts now.
 type prospect uint8
 
 const (
-	// onTime calls have their usual time and some to spare until the target.
-	onTime prospect = iota
-	// doubtful calls are on time if they are shorter than usual.
+	// onTime calls have their expected service time plus the margin left until the target.
+	runOnTimeShare prospect = iota
+	// doubtful calls meet the target only if they are shorter than expected.
 	doubtful
-	// late calls are worth something until their deadline only.
+	// late calls miss the target; their deadline may still be met.
 	late
 )
 
-// shortest is the part of its usual time that a call takes at the least: with a spread
-// of 0.5 one in eight takes less than half of it.
-const shortest = 2
+// shortestDivisor of the expected service time gives the shortest time assumed for a call:
+// with a spread of 0.5, one call in eight takes less than half of the expected time.
+const shortestDivisor = 2
 
 func (s *Slot) prospect(now time.Time) prospect {
 	left := s.work.Target.Sub(now)
 
 	switch {
-	case left >= s.size+s.spare:
-		return onTime
-	case left >= s.size/shortest:
+	case left >= s.serviceTime+s.margin:
+		return runOnTimeShare
+	case left >= s.serviceTime/shortestDivisor:
 		return doubtful
 	}
 
 	return late
 }
 
-// sooner orders calls of a rank. Those that will be on time go by when they have to
-// start. Of doubtful ones the one with the most time left goes first: when no call is
-// sure to be on time, starting the one that has waited longest makes all of them late
-// (TestNoCallIsSureToBeOnTime). Late ones go by their deadline.
-func (s *Slot) sooner(o *Slot, now time.Time) bool {
+// startsBefore orders calls of the same rank. Calls that will be on time go by their latest
+// start. Of doubtful calls the one with the latest target goes first: if no call is sure to be
+// on time, starting the oldest first makes all of them late (TestDoubtfulCallsStartNewestFirst).
+// Late calls go by their deadline.
+func (s *Slot) startsBefore(o *Slot, now time.Time) bool {
 	mine, theirs := s.prospect(now), o.prospect(now)
 
 	switch {
 	case mine != theirs:
 		return mine < theirs
-	case mine == onTime:
-		return s.latest().Before(o.latest())
+	case mine == runOnTimeShare:
+		return s.latestOnTimeStart().Before(o.latestOnTimeStart())
 	case mine == doubtful:
 		return s.work.Target.After(o.work.Target)
 	}
 
-	return s.last().Before(o.last())
+	return s.latestStart().Before(o.latestStart())
 }
 
-// latest returns the last moment to start to be on time.
-func (s *Slot) latest() time.Time { return s.work.Target.Add(-s.size - s.spare) }
+// latestOnTimeStart returns the latest start with which the call meets its target.
+func (s *Slot) latestOnTimeStart() time.Time { return s.work.Target.Add(-s.serviceTime - s.margin) }
 
-// last returns the last moment to start to end before the deadline.
-func (s *Slot) last() time.Time { return s.work.Deadline.Add(-s.size) }
+// latestStart returns the latest start with which the call meets its deadline.
+func (s *Slot) latestStart() time.Time { return s.work.Deadline.Add(-s.serviceTime) }
 
-// untilLook returns after how long a waiting call has lost a prospect: that of being on
-// time, or, if it has not had that one, of being answered at all.
-func (s *Slot) untilLook(now time.Time) time.Duration {
-	if at := s.latest(); at.After(now) {
+// untilRecheck returns the time until a waiting call can no longer meet its target or, if that
+// has passed, its deadline.
+func (s *Slot) untilRecheck(now time.Time) time.Duration {
+	if at := s.latestOnTimeStart(); at.After(now) {
 		return at.Sub(now)
 	}
 
-	return s.last().Sub(now)
+	return s.latestStart().Sub(now)
 }
--- a/internal/slots/play_test.go
+++ b/internal/slots/play_test.go
@@ -12,51 +12,51 @@
 
 const ms = time.Millisecond
 
-// kind is a kind of call in a load that is played.
-type kind struct {
+// workload describes calls of one kind with random arrivals.
+type workload struct {
 	route            string
 	rank             int
-	held             time.Duration
+	took             time.Duration
 	target, deadline time.Duration
-	every            time.Duration // mean time between arrivals
+	interval         time.Duration // mean time between arrivals
 	nested           bool
-	// spread of the time held, as the standard deviation of its logarithm.
+	// spread is the standard deviation of the logarithm of the service time.
 	spread float64
 }
 
-// draw returns how long one call of the kind takes; the mean is held.
-func (k kind) draw(r *rand.Rand) time.Duration {
-	return time.Duration(float64(k.held) * math.Exp(k.spread*r.NormFloat64()-k.spread*k.spread/2))
+// sampleServiceTime returns a random service time with mean took.
+func (w workload) sampleServiceTime(r *rand.Rand) time.Duration {
+	return time.Duration(float64(w.took) * math.Exp(w.spread*r.NormFloat64()-w.spread*w.spread/2))
 }
 
-// got is what the callers of a kind got.
-type got struct {
+// results counts the outcomes of a workload's calls.
+type results struct {
 	sync.Mutex
 
-	asked, onTime, late, refused int
-	held                         []time.Duration // of those that were turned away
+	sent, onTime, late, rejected int
+	took                         []time.Duration // time until rejection
 }
 
-func (g *got) share() float64 { return float64(g.onTime) / float64(max(g.asked, 1)) }
+func (g *results) onTimeShare() float64 { return float64(g.onTime) / float64(max(g.sent, 1)) }
 
-// play sends calls of each kind at random for some time and returns what they got.
-func play(q *slots.Queue, length time.Duration, kinds ...kind) []*got {
+// runLoad sends the calls of all workloads for the given time and returns their results.
+func runLoad(q *slots.Queue, length time.Duration, workloads ...workload) []*results {
 	random := rand.New(rand.NewPCG(1, 2))
-	out := make([]*got, len(kinds))
+	all := make([]*results, len(workloads))
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 
 	defer cancel()
 
 	var wg sync.WaitGroup
 
-	for i, k := range kinds {
-		out[i] = &got{}
-		calls := make([]kind, 0, length/k.every*2)
+	for i, w := range workloads {
+		all[i] = &results{}
+		calls := make([]workload, 0, length/w.interval*2)
 
 		for total := time.Duration(0); total < length; {
-			c := k
-			c.every, c.held = time.Duration(random.ExpFloat64()*float64(k.every)), k.draw(random)
-			calls, total = append(calls, c), total+c.every
+			c := w
+			c.interval, c.took = time.Duration(random.ExpFloat64()*float64(w.interval)), w.sampleServiceTime(random)
+			calls, total = append(calls, c), total+c.interval
 		}
 
 		wg.Go(func() {
@@ -64,20 +64,20 @@
 				select {
 				case <-ctx.Done():
 					return
-				case <-time.After(c.every):
+				case <-time.After(c.interval):
 				}
 
-				wg.Go(func() { one(q, c, out[i]) })
+				wg.Go(func() { runCall(q, c, all[i]) })
 			}
 		})
 	}
 
 	wg.Wait()
 
-	return out
+	return all
 }
 
-func one(q *slots.Queue, k kind, g *got) {
+func runCall(q *slots.Queue, k workload, r *results) {
 	start := time.Now()
 	w := slots.Work{Route: k.route, Rank: k.rank, Target: start.Add(k.target), Deadline: start.Add(k.deadline), Nested: k.nested}
 
@@ -86,23 +86,23 @@
 
 	s, err := q.Enter(ctx, w)
 	if err == nil {
-		time.Sleep(k.held)
-		s.Leave(k.held)
+		time.Sleep(k.took)
+		s.Leave(k.took)
 	}
 
-	g.Lock()
-	defer g.Unlock()
+	r.Lock()
+	defer r.Unlock()
 
-	g.asked++
+	r.sent++
 
 	switch {
 	case err != nil:
-		g.refused++
-		g.held = append(g.held, time.Since(start))
+		r.rejected++
+		r.took = append(r.took, time.Since(start))
 	case time.Since(start) <= k.target:
-		g.onTime++
+		r.onTime++
 	default:
-		g.late++
+		r.late++
 	}
 }
 
@@ -114,9 +114,9 @@
 }
 
 var (
-	folderOpen = kind{route: "folder-open", rank: 2, held: 120 * ms, target: 400 * ms, deadline: 1000 * ms, every: 10 * ms}
-	search     = kind{route: "search", rank: 1, held: 48 * ms, target: 150 * ms, deadline: 400 * ms, every: 30 * ms}
-	sweep      = kind{route: "sweep", rank: 2, held: 300 * ms, target: 800 * ms, deadline: 2000 * ms, every: 60 * ms}
-	listing    = kind{route: "listing", rank: 2, held: 100 * ms, target: 300 * ms, deadline: 800 * ms, every: 14 * ms, spread: 0.5}
-	export     = kind{route: "export", rank: 2, held: 220 * ms, target: 600 * ms, deadline: 1500 * ms, every: 60 * ms, spread: 0.8}
+	folderOpen = workload{route: "folder-open", rank: 2, took: 120 * ms, target: 400 * ms, deadline: 1000 * ms, interval: 10 * ms}
+	search     = workload{route: "search", rank: 1, took: 48 * ms, target: 150 * ms, deadline: 400 * ms, interval: 30 * ms}
+	sweep      = workload{route: "sweep", rank: 2, took: 300 * ms, target: 800 * ms, deadline: 2000 * ms, interval: 60 * ms}
+	listing    = workload{route: "listing", rank: 2, took: 100 * ms, target: 300 * ms, deadline: 800 * ms, interval: 14 * ms, spread: 0.5}
+	export     = workload{route: "export", rank: 2, took: 220 * ms, target: 600 * ms, deadline: 1500 * ms, interval: 60 * ms, spread: 0.8}
 )
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -1,36 +1,35 @@
-// Package slots decides at the node beside a backend server which calls run now,
-// which wait and which are turned away.
+// Package slots is the admission queue at the node on a backend server's host. It decides
+// which calls run now, which wait and which are rejected.
 //
-// # The load it answers
+// # Overload
 //
-// More calls than the backend server has slots for: bursts, callers that move from
-// another failure domain, slow backend servers, long calls among short ones.
+// More calls may arrive than the backend server has slots for: in bursts, after a failover
+// from another failure domain, when backend servers slow down, or when long calls hold slots
+// that short ones need.
 //
-//   - No more calls than slots run. A backend server that is full resets
-//     connections or slows down, and nobody can tell what ran; here a call that
-//     does not fit has provably not run.
-//   - A call that would be late is turned away at once, with the time after which
-//     the backlog will be gone, and one that waits as soon as it can't end before its
-//     deadline. Without this it waits in vain, and a queue that is filled up to the
-//     deadline makes every call late. Only a few late ones wait, to use slots that
-//     get free when nobody who can be on time wants them.
-//   - A call that would be late here and has somewhere else to go is turned away
-//     at once too, since asking the next node costs a millisecond. So is one that waits,
-//     in the moment in which it can't be sure any more to be on time: calls of urgent
-//     ranks and long ones came before it, and another node may have a free slot. Without
-//     it calls wait for most of their time and are turned away then, while backend servers
-//     elsewhere have slots to spare.
-//   - A call that would wait for a while, though it would be on time, is turned away if
-//     another node nearby may have a slot free. Without it queues build up at some backend
-//     servers while others idle, as nobody knows their loads of this moment, and what
-//     waits delays all behind it.
-//   - Calls that a running call waits for go first of all: turned away, they make that
-//     run worthless, and it is sent again.
-//   - Urgent ranks first, and within a rank the call that has to start soonest to
-//     be on time. One start in FairEvery goes to a rank of which less than StarvedAt
-//     was let in lately, so that no kind of call is starved by more urgent ones.
+//   - At most one call runs per slot. A backend server over its capacity resets connections
+//     or slows down, and it is unknown which calls ran; a call rejected here certainly has
+//     not run.
+//   - A call that would miss its target is rejected at once, with the time until the backlog
+//     has drained, and a waiting call is rejected as soon as it can't end before its deadline.
+//     A queue filled up to the deadline would make every call late. Only a few late calls may
+//     wait, to use slots that no on-time call needs.
+//   - A call that would miss its target here and can run on another node is rejected at once,
+//     since contacting the next node costs a millisecond. A waiting call is rejected as soon
+//     as it is no longer sure to meet its target, because urgent or long calls went first.
+//     Otherwise calls spend most of their time waiting and are rejected then, while other
+//     backend servers have free slots.
+//   - A call with a long expected wait is rejected, even if it would meet its target, when
+//     another node of the failure domain may have a free slot. The entry node's load data is
+//     never current; without this rule queues build up at some backend servers while others
+//     are idle, and each waiting call delays those behind it.
+//   - Nested calls, for which a running call waits, go first. Rejecting one wastes the
+//     running call, which is then retried.
+//   - Urgent ranks go first; within a rank, the call with the earliest latest start that meets
+//     its target. One start in StarvedStartInterval goes to a rank whose recent admitted share
+//     is below MinAdmittedShare, so that urgent ranks don't starve the others.
 //
-// How long calls take is learnt for each route, since they differ by ten times.
+// Service times are learned per route because they differ by a factor of ten.
 //
 // # Usage
 //
@@ -54,109 +53,108 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Errors of a call that is turned away.
+// Reasons for rejecting a call.
 var (
 	ErrClosed    = errs.New("slots.closed", http.StatusServiceUnavailable, "the backend server takes no calls")
 	ErrTooLate   = errs.New("slots.too_late", http.StatusServiceUnavailable, "the call can't end in time")
 	ErrElsewhere = errs.New("slots.elsewhere", http.StatusServiceUnavailable, "the call would be late here and may go elsewhere")
 	ErrWaits     = errs.New("slots.waits", http.StatusServiceUnavailable, "the call would wait here and others near may have a slot free")
-	ErrGone      = errs.New("slots.gone", http.StatusServiceUnavailable, "the caller gave up while the call waited")
+	ErrCanceled  = errs.New("slots.gone", http.StatusServiceUnavailable, "the caller gave up while the call waited")
 )
 
 const (
-	// FairEvery is of how many starts one goes to a starved rank.
-	FairEvery = 4
-	// StarvedAt is the part of a rank's calls that is let in at the least while calls
-	// of other ranks are; fairSmoothing is over how many of them it is counted.
-	StarvedAt     = 0.35
-	fairSmoothing = 32
-	// unknownSize is taken for the length of a call whose route was never seen.
-	unknownSize = 50 * time.Millisecond
-	// smoothing of sizes; about as many calls have a say. clip bounds what a single long
-	// one says.
-	smoothing = 16
-	clip      = 4
-	// spareDeviations is how many of its usual deviations a call is given beyond its
-	// usual time when it is judged whether it will be on time. With none, more of those
-	// that are let in are late; with more, calls of a burst are turned away that would have
-	// been on time.
-	spareDeviations = 1.0
-	// standingDeviations are given while the queue is a standing one. There are always
-	// calls for a slot that gets free then, and each that starts late has taken it from one
-	// that would have been on time (TestHowFarFromAPlacerThatKnowsAll).
-	standingDeviations = 3.0
-	// standingAfter tells a standing queue from a burst: a burst is through in about one
-	// service time.
-	standingAfter = 200 * time.Millisecond
-	// latePart of the slots is how many calls may wait that are not sure to be on time.
-	// With twice the load that the slots take, all that were let in to be late waited in
-	// vain: those that can be on time go first, and there are always some.
-	latePart = 2
-	// waitTimes is how many times its usual time a call may wait where it came first, rather
-	// than look for a free slot nearby. With less, entries ask two nodes for each call of a
-	// busy service.
-	waitTimes = 1.5
-	// leastPart of its usual time is counted for a running call however long it
-	// has run already.
-	leastPart = 4
-	// maxRoutes bounds what is remembered of routes that are long gone.
+	// StarvedStartInterval is the number of starts of which one goes to a starved rank.
+	StarvedStartInterval = 4
+	// MinAdmittedShare is the share of a rank's calls below which the rank counts as starved.
+	// admittedShareSamples is the number of calls over which the share is smoothed.
+	MinAdmittedShare     = 0.35
+	admittedShareSamples = 32
+	// defaultServiceTime is assumed for routes without samples.
+	defaultServiceTime = 50 * time.Millisecond
+	// serviceTimeSamples is the number of calls over which service times are smoothed. A sample
+	// counts as at most maxSampleFactor times the mean, to limit the effect of a single long call.
+	serviceTimeSamples = 16
+	maxSampleFactor    = 4
+	// burstMarginDeviations is the margin beyond the expected service time, in mean deviations,
+	// for deciding whether a call meets its target. Without a margin more admitted calls are
+	// late; a larger one rejects calls of a burst that would have been on time.
+	burstMarginDeviations = 1.0
+	// standingMarginDeviations is the margin in a standing queue. There a call is always ready
+	// for a free slot, and each call that ends late takes the slot of one that would have been
+	// on time (see the balance test of package dispatch).
+	standingMarginDeviations = 3.0
+	// standingQueueAfter distinguishes a standing queue from a burst, which drains within about
+	// one service time.
+	standingQueueAfter = 200 * time.Millisecond
+	// notOnTimeDivisor of the slots gives the number of waiting calls that may be unsure to meet
+	// their target. At twice the capacity all calls admitted as late waited until rejection,
+	// because there are always on-time calls, which start first.
+	notOnTimeDivisor = 2
+	// maxWaitFactor is the longest wait, in expected service times, before a call is sent to
+	// another node of the failure domain instead. With a lower factor, entry nodes contact two
+	// nodes for each call of a busy service.
+	maxWaitFactor = 1.5
+	// minRemainingDivisor of the expected service time gives the least remaining time assumed for
+	// a running call, however long it has run.
+	minRemainingDivisor = 4
+	// maxRoutes bounds the statistics of routes that no longer exist.
 	maxRoutes = 4096
-	// shortestRetry and longestRetry bound the time to come back.
-	shortestRetry = 40 * time.Millisecond
-	longestRetry  = time.Second
+	// minRetryAfter and maxRetryAfter bound RetryAfter.
+	minRetryAfter = 40 * time.Millisecond
+	maxRetryAfter = time.Second
 )
 
-// Work is a call that wants a slot.
+// Work describes a call that requests a slot.
 type Work struct {
 	Route string
 	Rank  int
-	// Target is until when an answer is worth most, Deadline until when it is
-	// worth anything.
+	// Target is the time by which an answer is wanted, Deadline the time after which it is
+	// worthless.
 	Target   time.Time
 	Deadline time.Time
-	// Elsewhere says that another node can take the call.
+	// Elsewhere is set if another node can run the call.
 	Elsewhere bool
-	// Nearby says that another node of the failure domain may have a slot free.
+	// Nearby is set if another node of the failure domain may have a free slot.
 	Nearby bool
-	// Nested says that a call which runs elsewhere waits for this one.
+	// Nested is set if a call that runs on another backend server waits for this one.
 	Nested bool
 }
 
-// Queue lets calls in to one backend server.
+// Queue admits calls to one backend server.
 type Queue struct {
-	mu      sync.Mutex
-	slots   int
-	closed  bool
-	running map[*Slot]struct{}
-	waiting []*Slot
-	since   time.Time // when the first of those that wait found nobody waiting
-	sizes   *bounded.Map[size]
-	starts  int
-	use     [ranks]use
-	letIn   [ranks]float64 // the part of a rank's calls that was let in lately
+	mu            sync.Mutex
+	slots         int
+	closed        bool
+	running       map[*Slot]struct{}
+	waiting       []*Slot
+	waitingSince  time.Time // when the queue last became non-empty
+	serviceTimes  *bounded.Map[serviceTimeEstimate]
+	startCount    int
+	usage         [rankCount]usage
+	admittedShare [rankCount]float64 // recent share of admitted calls per rank
 }
 
-// Slot is a call that runs or waits.
+// Slot is a running or waiting call.
 type Slot struct {
-	queue   *Queue
-	work    Work
-	size    time.Duration
-	spare   time.Duration // more than that most calls of the route do not take
-	began   time.Time
-	granted chan error
+	queue       *Queue
+	work        Work
+	serviceTime time.Duration
+	margin      time.Duration // extra time that most calls of the route don't exceed
+	started     time.Time
+	decision    chan error
 }
 
 // New returns a queue without slots.
 func New() *Queue {
-	q := &Queue{running: map[*Slot]struct{}{}, sizes: bounded.New[size](maxRoutes)}
-	for i := range q.letIn {
-		q.letIn[i] = 1
+	q := &Queue{running: map[*Slot]struct{}{}, serviceTimes: bounded.New[serviceTimeEstimate](maxRoutes)}
+	for i := range q.admittedShare {
+		q.admittedShare[i] = 1
 	}
 
 	return q
 }
 
-// Resize sets the number of slots; 0 turns all away.
+// Resize sets the number of slots; with 0 all calls are rejected.
 func (q *Queue) Resize(slots int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -169,49 +167,49 @@
 	q.start(time.Now())
 }
 
-// Close turns away what waits and what comes from now on; what runs goes on.
+// Close rejects waiting and new calls; running calls continue.
 func (q *Queue) Close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
 	q.closed, q.slots = true, 0
-	q.turnAway()
+	q.rejectWaiting()
 }
 
-// Enter returns when the call may run. The error says why it may not.
+// Enter waits for a slot. The error is the reason why the call must not run.
 func (q *Queue) Enter(ctx context.Context, w Work) (*Slot, error) {
-	s := &Slot{queue: q, work: w, granted: make(chan error, 1)}
+	s := &Slot{queue: q, work: w, decision: make(chan error, 1)}
 
 	if err := q.enqueue(s); err != nil {
 		return nil, err
 	}
 
-	// Most calls are let in at once.
+	// Fast path: most calls get a slot at once.
 	select {
-	case err := <-s.granted:
+	case err := <-s.decision:
 		return s.result(err)
 	default:
 	}
 
-	look := time.NewTimer(s.untilLook(time.Now()))
-	defer look.Stop()
+	recheck := time.NewTimer(s.untilRecheck(time.Now()))
+	defer recheck.Stop()
 
 	for {
 		select {
-		case err := <-s.granted:
+		case err := <-s.decision:
 			return s.result(err)
-		case <-look.C:
+		case <-recheck.C:
 			if s.work.Elsewhere {
 				return nil, q.abandon(s, ErrElsewhere)
 			}
 
-			if q.inVain(s) {
+			if q.hopeless(s) {
 				return nil, q.abandon(s, ErrTooLate)
 			}
 
-			look.Reset(time.Until(s.last()))
+			recheck.Reset(time.Until(s.latestStart()))
 		case <-ctx.Done():
-			return nil, q.abandon(s, ErrGone)
+			return nil, q.abandon(s, ErrCanceled)
 		}
 	}
 }
@@ -229,23 +227,23 @@
 	defer q.mu.Unlock()
 
 	now := time.Now()
-	s.size, s.spare = q.size(s.work.Route, now)
+	s.serviceTime, s.margin = q.serviceTime(s.work.Route, now)
 
 	if q.slots == 0 {
 		return ErrClosed
 	}
 
-	wait := q.wait(s, now)
-	if err := q.judge(s, now, wait); wait > 0 && err != nil {
+	expectedWait := q.expectedWait(s, now)
+	if err := q.evaluateWait(s, now, expectedWait); expectedWait > 0 && err != nil {
 		if errors.Is(err, ErrTooLate) {
-			q.note(s.work, 0)
+			q.recordOutcome(s.work, 0)
 		}
 
 		return err
 	}
 
 	if len(q.waiting) == 0 {
-		q.since = now
+		q.waitingSince = now
 	}
 
 	q.waiting = append(q.waiting, s)
@@ -254,58 +252,58 @@
 	return nil
 }
 
-// abandon takes a call out that waits in vain. A slot that was granted in the same
-// moment is given back.
-func (q *Queue) abandon(s *Slot, why error) error {
+// abandon removes a waiting call. If it has been granted a slot in the meantime, the slot is
+// released.
+func (q *Queue) abandon(s *Slot, reason error) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
 	if i := slices.Index(q.waiting, s); i >= 0 {
 		q.waiting = slices.Delete(q.waiting, i, i+1)
-		q.note(s.work, 0)
+		q.recordOutcome(s.work, 0)
 
-		return why
+		return reason
 	}
 
 	delete(q.running, s)
 	q.start(time.Now())
 
-	return why
+	return reason
 }
 
-// start lets waiting calls in while slots are free.
+// start admits waiting calls while slots are free.
 func (q *Queue) start(now time.Time) {
 	for len(q.waiting) > 0 && len(q.running) < q.slots {
-		s := q.next(now)
+		s := q.dequeue(now)
 
-		// Half of the usual time is the least that is worth a try.
-		if now.Add(s.size / 2).After(s.work.Deadline) {
-			s.granted <- ErrTooLate
+		// A call that has less than half of its expected time left is not worth starting.
+		if now.Add(s.serviceTime / 2).After(s.work.Deadline) {
+			s.decision <- ErrTooLate
 
 			continue
 		}
 
-		s.began = now
+		s.started = now
 		q.running[s] = struct{}{}
-		q.note(s.work, 1)
-		s.granted <- nil
+		q.recordOutcome(s.work, 1)
+		s.decision <- nil
 	}
 
 	if q.slots == 0 {
-		q.turnAway()
+		q.rejectWaiting()
 	}
 }
 
-func (q *Queue) turnAway() {
+func (q *Queue) rejectWaiting() {
 	for _, s := range q.waiting {
-		s.granted <- ErrClosed
+		s.decision <- ErrClosed
 	}
 
 	q.waiting = nil
 }
 
-// Leave gives the slot back. Took is how long the backend server needed, or 0 if
-// that says nothing about the route.
+// Leave releases the slot. Took is the service time at the backend server, or 0 if it is not a
+// valid sample for the route.
 func (s *Slot) Leave(took time.Duration) {
 	q := s.queue
 
@@ -315,10 +313,10 @@
 	now := time.Now()
 
 	delete(q.running, s)
-	q.use[rankOf(s.work)].add(now.Sub(s.began), now)
+	q.usage[rankIndex(s.work)].add(now.Sub(s.started), now)
 
 	if took > 0 {
-		q.learn(s.work.Route, took)
+		q.observe(s.work.Route, took)
 	}
 
 	q.start(now)
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -14,11 +14,10 @@
 	"github.com/pollencart/pollencart/internal/slots"
 )
 
-// Calls reach busy backend servers when they can't be on time any more, and their callers
-// still want the answers. They wait for a slot, as long as it can be answered at all; a look
-// at once whether it is in vain would find nothing that was not known when they were let in,
-// and many such looks in one bubble end the race detector.
-func TestCallsThatAreLateFromTheStartWait(t *testing.T) {
+// Calls that have passed their target before they arrive still wait for a slot until their
+// deadline. Rechecking them immediately would find nothing new, and many such rechecks in one
+// synctest bubble crash the race detector.
+func TestCallsPastTheirTargetWaitForASlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 200
 
@@ -52,8 +51,8 @@
 	})
 }
 
-// More calls than slots reach a backend server, which then resets connections, and
-// nobody can say what ran.
+// A backend server with more calls than slots resets connections, and it is unknown which
+// calls ran.
 func TestNeverMoreThanTheSlotsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(9)
@@ -83,37 +82,36 @@
 	})
 }
 
-// Twice as many calls come as the slots take. If all of them wait, all are late; so
-// most of what the slots can do is still done on time, and who is turned away is
-// told soon.
-func TestSaturation(t *testing.T) {
+// At twice the capacity, a queue that lets all calls wait makes all of them late. Most of the
+// capacity must still serve calls on time, and rejections must come early.
+func TestSaturatedQueueKeepsServingOnTimeAndRejectsEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		load := folderOpen
-		load.every = load.held / 9 / 2
-		g := play(newQueue(9), 10*time.Second, load)[0]
-
-		slices.Sort(g.held)
-		t.Logf("asked %d, on time %d, late %d, refused %d, half of them within %s, nine tenths within %s",
-			g.asked, g.onTime, g.late, g.refused, g.held[len(g.held)/2], g.held[len(g.held)*9/10])
-		assert.Assert(t, g.share() > 0.20, "%.2f", g.share())
-		assert.Assert(t, float64(g.onTime+g.late) > 0.45*float64(g.asked))
-		assert.Assert(t, g.held[len(g.held)*9/10] < 300*ms)
-		assert.Assert(t, g.held[len(g.held)/2] < 10*ms)
+		load.interval = load.took / 9 / 2
+		g := runLoad(newQueue(9), 10*time.Second, load)[0]
+
+		slices.Sort(g.took)
+		t.Logf("sent %d, on time %d, late %d, rejected %d, median time to rejection %s, 90th percentile %s",
+			g.sent, g.onTime, g.late, g.rejected, g.took[len(g.took)/2], g.took[len(g.took)*9/10])
+		assert.Assert(t, g.onTimeShare() > 0.20, "%.2f", g.onTimeShare())
+		assert.Assert(t, float64(g.onTime+g.late) > 0.45*float64(g.sent))
+		assert.Assert(t, g.took[len(g.took)*9/10] < 300*ms)
+		assert.Assert(t, g.took[len(g.took)/2] < 10*ms)
 	})
 }
 
-// A burst fills the queue for a moment. It is worked off, and nobody is turned away
-// who could have been served.
-func TestBurst(t *testing.T) {
+// A burst fills the queue for a short time. It drains without rejecting calls that can be
+// served.
+func TestBurstIsServedWithoutRejections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(9)
-		g := &got{}
+		g := &results{}
 
-		one(q, folderOpen, g) // the usual time is known
+		runCall(q, folderOpen, g) // records the service time
 
 		var wg sync.WaitGroup
 		for range 27 {
-			wg.Go(func() { one(q, folderOpen, g) })
+			wg.Go(func() { runCall(q, folderOpen, g) })
 		}
 
 		wg.Wait()
@@ -121,136 +119,134 @@
 	})
 }
 
-// A sweep has long calls, searches are short and urgent. Searches wait for a slot
-// that gets free, not for the sweep's queue, and the sweep is not starved by them.
-func TestLongWorkAmongShort(t *testing.T) {
+// Searches are short and urgent, sweep calls long. Searches get the next free slot instead of
+// waiting behind queued sweep calls, and don't starve the sweep.
+func TestUrgentShortCallsPassLongCallsWithoutStarvingThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, l := search, sweep
-		s.every, l.every = 8*ms, 35*ms // together about 1.6 times the slots
+		s.interval, l.interval = 8*ms, 35*ms // together about 1.6 times the capacity
 
-		g := play(newQueue(9), 20*time.Second, s, l)
-		t.Logf("searches on time %.2f, sweep served %.2f", g[0].share(), float64(g[1].onTime+g[1].late)/float64(g[1].asked))
-		assert.Assert(t, g[0].share() > 0.9)
-		assert.Assert(t, float64(g[1].onTime+g[1].late) > 0.25*float64(g[1].asked))
+		g := runLoad(newQueue(9), 20*time.Second, s, l)
+		t.Logf("searches on time %.2f, sweep served %.2f", g[0].onTimeShare(), float64(g[1].onTime+g[1].late)/float64(g[1].sent))
+		assert.Assert(t, g[0].onTimeShare() > 0.9)
+		assert.Assert(t, float64(g[1].onTime+g[1].late) > 0.25*float64(g[1].sent))
 	})
 }
 
-// All that come are more urgent than the sweep and want all slots. One start in four
-// still goes to whoever has to start soonest of all.
-func TestTheLeastUrgentAreNotStarved(t *testing.T) {
+// Urgent calls demand all slots. One start in four still goes to the starved rank of the sweep.
+func TestLeastUrgentRankIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		urgent := folderOpen
-		urgent.rank, urgent.every = 0, 10*ms
+		urgent.rank, urgent.interval = 0, 10*ms
 
-		g := play(newQueue(9), 20*time.Second, urgent, sweep)
-		served := float64(g[1].onTime+g[1].late) / float64(g[1].asked)
-		t.Logf("urgent on time %.2f, sweep served %.2f", g[0].share(), served)
+		g := runLoad(newQueue(9), 20*time.Second, urgent, sweep)
+		served := float64(g[1].onTime+g[1].late) / float64(g[1].sent)
+		t.Logf("urgent on time %.2f, sweep served %.2f", g[0].onTimeShare(), served)
 		assert.Assert(t, served > 0.25)
 	})
 }
 
-// onTime plays calls of a kind that want so much of six slots, and returns the part that is
-// on time.
-func onTime(t *testing.T, k kind, use float64) float64 {
+// runOnTimeShare runs a workload that demands the given multiple of six slots and returns the
+// share of calls that are on time.
+func runOnTimeShare(t *testing.T, w workload, load float64) float64 {
 	t.Helper()
 
 	const slots = 6
 
-	k.every = time.Duration(float64(k.held) / slots / use)
-	g := play(newQueue(slots), time.Minute, k)[0]
+	w.interval = time.Duration(float64(w.took) / slots / load)
+	g := runLoad(newQueue(slots), time.Minute, w)[0]
 
-	t.Logf("%s: on time %.3f, late %.2f", k.route, g.share(), float64(g.late)/float64(g.asked))
+	t.Logf("%s: on time %.3f, late %.2f", w.route, g.onTimeShare(), float64(g.late)/float64(g.sent))
 
-	return g.share()
+	return g.onTimeShare()
 }
 
-// Calls of one route differ in length, and 1.3 times as many come as the slots take. One
-// that starts at the last moment at which a call of usual length would be on time is
-// late in half of all cases, and has taken the slot of one that would have been on time.
-func TestCallsThatDifferInLength(t *testing.T) {
+// Service times vary, and the load is 1.3 times the capacity. A call started at the last
+// moment for the expected service time is late in half of all cases, and has taken the slot of
+// a call that would have been on time.
+func TestOverloadWithVaryingServiceTimesKeepsCallsOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		assert.Assert(t, onTime(t, listing, 1.3) > 0.72)
-		assert.Assert(t, onTime(t, export, 1.3) > 0.64)
+		assert.Assert(t, runOnTimeShare(t, listing, 1.3) > 0.72)
+		assert.Assert(t, runOnTimeShare(t, export, 1.3) > 0.64)
 	})
 }
 
-// The slots suffice, but not at each moment. A call that waits then is on time unless it is
-// long; turned away for more time to spare, as in overload, it would have been refused with a
-// slot about to get free.
-func TestCallsThatDifferInLengthWhereSlotsSuffice(t *testing.T) {
+// Capacity suffices on average, with short queues. A waiting call is on time unless it is long;
+// with the larger margin for overload it would be rejected just before a slot becomes free.
+func TestVaryingServiceTimesWithoutOverloadKeepCallsOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		assert.Assert(t, onTime(t, listing, 0.85) > 0.93)
-		assert.Assert(t, onTime(t, export, 0.85) > 0.85)
+		assert.Assert(t, runOnTimeShare(t, listing, 0.85) > 0.93)
+		assert.Assert(t, runOnTimeShare(t, export, 0.85) > 0.85)
 	})
 }
 
-// After a restart of everything backend servers are slow for some seconds, and twice as
-// many calls come as they take. No call is sure to be on time even if it starts at once.
-// Starting the one that has waited longest makes all late; the newest has a chance.
-func TestNoCallIsSureToBeOnTime(t *testing.T) {
+// After a full restart, backend servers are slow for some seconds while the load is twice their
+// capacity, and no call is sure to be on time even if it starts at once. Starting the oldest
+// call first makes all of them late; the newest may still be on time.
+func TestDoubtfulCallsStartNewestFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const over, slots = 2, 6
 
 		cold := listing
-		cold.held = 220 * ms
-		cold.every = cold.held / slots / over
+		cold.took = 220 * ms
+		cold.interval = cold.took / slots / over
 
 		q := newQueue(slots)
-		play(q, 5*time.Second, cold)
-		g := play(q, 30*time.Second, cold)[0]
+		runLoad(q, 5*time.Second, cold)
+		g := runLoad(q, 30*time.Second, cold)[0]
 
-		slices.Sort(g.held)
-		t.Logf("on time %.2f, late %.2f, half of the refusals within %s, all within %s", g.share(), float64(g.late)/float64(g.asked),
-			g.held[len(g.held)/2], g.held[len(g.held)-1])
-		assert.Assert(t, g.share() > 0.3)
+		slices.Sort(g.took)
+		t.Logf("on time %.2f, late %.2f, median time to rejection %s, maximum %s", g.onTimeShare(), float64(g.late)/float64(g.sent),
+			g.took[len(g.took)/2], g.took[len(g.took)-1])
+		assert.Assert(t, g.onTimeShare() > 0.3)
 	})
 }
 
-// Backend servers of another service check permissions here while they run calls, among
-// uploads of the same rank that want all slots. A check that is turned away fails the
-// call that waits for it, which has held a slot elsewhere for nothing.
-func TestCallsThatRunningCallsWaitForGoFirst(t *testing.T) {
+// Running calls of another service make nested permission checks here, while uploads of the
+// same rank demand all slots. Rejecting a check fails the call that waits for it and wastes
+// the slot that this call holds.
+func TestNestedCallsStartFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		upload := kind{route: "upload", rank: 1, held: 240 * ms, target: 400 * ms, deadline: 1000 * ms, every: 40 * ms, spread: 0.5}
-		check := kind{route: "check", rank: 1, held: 44 * ms, target: 230 * ms, deadline: 230 * ms, every: 20 * ms, spread: 0.5, nested: true}
+		upload := workload{route: "upload", rank: 1, took: 240 * ms, target: 400 * ms, deadline: 1000 * ms, interval: 40 * ms, spread: 0.5}
+		check := workload{route: "check", rank: 1, took: 44 * ms, target: 230 * ms, deadline: 230 * ms, interval: 20 * ms, spread: 0.5, nested: true}
 
-		g := play(newQueue(6), 20*time.Second, upload, check)
-		t.Logf("uploads on time %.2f, checks %.2f", g[0].share(), g[1].share())
-		assert.Assert(t, g[1].share() > 0.97)
+		g := runLoad(newQueue(6), 20*time.Second, upload, check)
+		t.Logf("uploads on time %.2f, checks %.2f", g[0].onTimeShare(), g[1].onTimeShare())
+		assert.Assert(t, g[1].onTimeShare() > 0.97)
 	})
 }
 
-// The backend server turns five times slower. Callers whose calls can't end any more
-// are told at once instead of at their deadline.
-func TestASlowBackendServer(t *testing.T) {
+// The backend server becomes five times slower. Calls that can't end in time are rejected at
+// once instead of at their deadline.
+func TestSlowBackendServerRejectsEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(9)
 
 		healthy, slow := folderOpen, folderOpen
-		healthy.every, slow.every = 20*ms, 20*ms
-		slow.held *= 5
+		healthy.interval, slow.interval = 20*ms, 20*ms
+		slow.took *= 5
 
-		play(q, 3*time.Second, healthy)
-		play(q, 2*time.Second, slow)
-		g := play(q, 5*time.Second, slow)[0]
+		runLoad(q, 3*time.Second, healthy)
+		runLoad(q, 2*time.Second, slow)
+		g := runLoad(q, 5*time.Second, slow)[0]
 
-		slices.Sort(g.held)
-		t.Logf("refused %d of %d, half of them within %s", g.refused, g.asked, g.held[len(g.held)/2])
-		assert.Assert(t, g.held[len(g.held)/2] < 50*ms)
+		slices.Sort(g.took)
+		t.Logf("rejected %d of %d, median time to rejection %s", g.rejected, g.sent, g.took[len(g.took)/2])
+		assert.Assert(t, g.took[len(g.took)/2] < 50*ms)
 	})
 }
 
-// A call waits and can't end in time any more, because more urgent ones went first.
-// It is turned away then, not at its deadline.
-func TestNothingWaitsInVain(t *testing.T) {
+// A waiting call that can no longer end before its deadline is rejected at that moment, not at
+// the deadline.
+func TestWaitingCallIsRejectedOnceItCannotMeetItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(1)
-		one(q, sweep, &got{}) // 300 ms is known
+		runCall(q, sweep, &results{}) // records a service time of 300 ms
 
 		s, err := q.Enter(context.Background(), slots.Work{Route: "sweep", Deadline: time.Now().Add(time.Minute)})
 		assert.NilError(t, err)
 
-		time.Sleep(290 * ms) // nearly done, as far as is known
+		time.Sleep(290 * ms) // the running call is expected to end soon
 
 		start := time.Now()
 		_, err = q.Enter(context.Background(), slots.Work{
@@ -262,12 +258,12 @@
 	})
 }
 
-// Others can take the call in time. It is sent back at once, since asking them takes
-// a millisecond and waiting here a target.
-func TestACallThatWouldBeLateGoesElsewhere(t *testing.T) {
+// Contacting another node takes a millisecond, waiting here would exceed the target. The call
+// is rejected at once.
+func TestLateCallIsRejectedAtOnceWhenAnotherNodeCanTakeIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(1)
-		one(q, sweep, &got{})
+		runCall(q, sweep, &results{})
 
 		_, err := q.Enter(context.Background(), slots.Work{Route: "sweep", Deadline: time.Now().Add(time.Minute)})
 		assert.NilError(t, err)
@@ -281,13 +277,13 @@
 	})
 }
 
-// A queue has built up at one backend server while another near it has a slot free: entries
-// know loads of a while ago. The call would be on time here, but behind the others, and all
-// that come after it would wait for it too.
-func TestACallThatWouldWaitLooksForAFreeSlotNearby(t *testing.T) {
+// A queue has built up here while another node of the failure domain has a free slot, since
+// load data of entry nodes is never current. The call would be on time here, but would delay
+// all calls behind it.
+func TestLongWaitIsRejectedWhenANearbyNodeMayHaveAFreeSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(1)
-		one(q, sweep, &got{})
+		runCall(q, sweep, &results{})
 
 		now := time.Now()
 		w := slots.Work{Route: "sweep", Target: now.Add(2000 * ms), Deadline: now.Add(4000 * ms), Nearby: true}
@@ -304,7 +300,7 @@
 			done <- err
 		}
 
-		// A wait for one call is none to speak of.
+		// A wait of about one service time is accepted.
 		go enter(w)
 
 		synctest.Wait()
@@ -315,7 +311,7 @@
 		assert.ErrorIs(t, err, slots.ErrWaits)
 		assert.Equal(t, time.Since(now), time.Duration(0))
 
-		// Nobody else is near, and it waits.
+		// Without a node in the same failure domain, the call waits.
 		w.Nearby = false
 
 		go enter(w)
@@ -329,10 +325,9 @@
 	})
 }
 
-// A call may wait since it would be on time, and has other nodes to go to. Urgent calls
-// come meanwhile and take the slots that get free. It must go elsewhere while it can be on
-// time there, not wait until it can't even end before its deadline.
-func TestACallThatWaitsGoesElsewhereWhileItCanBeOnTime(t *testing.T) {
+// A call waits because it is expected to be on time; then urgent calls take the free slots. It
+// must be rejected while it can still be on time on another node.
+func TestWaitingCallIsRejectedWhileAnotherNodeCanBeOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const held = 100 * ms
 
@@ -348,7 +343,7 @@
 		}
 
 		for range 20 {
-			run() // the route's time is known
+			run() // records the route's service time
 		}
 
 		var urgent sync.WaitGroup
@@ -371,9 +366,8 @@
 	})
 }
 
-// The backend server says that it leaves while calls wait. None of them is sent to
-// it any more, and all are told at once.
-func TestLeavingTurnsAwayAllThatWait(t *testing.T) {
+// A draining backend server takes no calls. All waiting calls are rejected at once.
+func TestResizeToZeroRejectsWaitingCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(1)
 		w := slots.Work{Route: "a", Target: time.Now().Add(time.Minute), Deadline: time.Now().Add(time.Minute)}
@@ -403,9 +397,8 @@
 	})
 }
 
-// A caller goes away in the moment in which its call gets a slot. The slot must not
-// be lost for good.
-func TestASlotOfACallerThatLeftIsGivenBack(t *testing.T) {
+// A caller cancels at the moment its call gets a slot. The slot must be released.
+func TestSlotGrantedToACanceledCallIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(1)
 		w := slots.Work{Route: "a", Target: time.Now().Add(time.Minute), Deadline: time.Now().Add(time.Minute)}
@@ -423,7 +416,7 @@
 				if s, err := q.Enter(ctx, w); err == nil {
 					s.Leave(0)
 				} else {
-					assert.Assert(t, errors.Is(err, slots.ErrGone))
+					assert.Assert(t, errors.Is(err, slots.ErrCanceled))
 				}
 			}()
 
@@ -439,7 +432,7 @@
 	})
 }
 
-// BenchmarkEnter is one call through an idle queue.
+// BenchmarkEnter measures one call through an idle queue.
 func BenchmarkEnter(b *testing.B) {
 	q := newQueue(9)
 	w := slots.Work{Route: "a", Target: time.Now().Add(time.Hour), Deadline: time.Now().Add(time.Hour)}
