--- a/internal/dispatch/balance_test.go
+++ b/internal/dispatch/balance_test.go
@@ -101,7 +101,7 @@
 	out := forward.Load{Slots: l.Slots, Running: l.Running, Waiting: l.Waiting}
 
 	for rank := range out.WaitsMs {
-		out.WaitsMs[rank] = q.Wait(w, rank).Milliseconds()
+		out.WaitsMs[rank] = q.EstimateWait(w, rank).Milliseconds()
 	}
 
 	return out
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -118,7 +118,7 @@
 	out := forward.Load{Slots: l.Slots, Running: l.Running, Waiting: l.Waiting}
 
 	for rank := range out.WaitsMs {
-		out.WaitsMs[rank] = r.options.Queue.Wait(w, rank).Milliseconds()
+		out.WaitsMs[rank] = r.options.Queue.EstimateWait(w, rank).Milliseconds()
 	}
 
 	return out
--- a/internal/slots/load.go
+++ b/internal/slots/load.go
@@ -17,8 +17,8 @@
 	return Load{Slots: q.slots, Running: len(q.running), Waiting: len(q.waiting)}
 }
 
-// Wait estimates how long a call of the work's route would wait at the given rank.
-func (q *Queue) Wait(w Work, rank int) time.Duration {
+// EstimateWait estimates how long a call of the work's route would wait at the given rank.
+func (q *Queue) EstimateWait(w Work, rank int) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -45,5 +45,5 @@
 // RetryAfter estimates when a retry of this call is likely to get a slot: after the current
 // backlog has drained.
 func (q *Queue) RetryAfter(w Work) time.Duration {
-	return min(max(q.Wait(w, w.Rank), minRetryAfter), maxRetryAfter)
+	return min(max(q.EstimateWait(w, w.Rank), minRetryAfter), maxRetryAfter)
 }
