--- a/internal/dispatch/balance_test.go
+++ b/internal/dispatch/balance_test.go
@@ -81,7 +81,7 @@
 		switch {
 		case errors.Is(err, slots.ErrElsewhere):
 			reason = forward.ReasonElsewhere
-		case errors.Is(err, slots.ErrWaits):
+		case errors.Is(err, slots.ErrWouldWait):
 			reason = forward.ReasonWaits
 		}
 
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -164,7 +164,7 @@
 	switch {
 	case errors.Is(err, slots.ErrElsewhere):
 		return refused(forward.ReasonElsewhere, r.options.Queue.RetryAfter(w))
-	case errors.Is(err, slots.ErrWaits):
+	case errors.Is(err, slots.ErrWouldWait):
 		return refused(forward.ReasonWaits, r.options.Queue.RetryAfter(w))
 	case errors.Is(err, slots.ErrClosed):
 		return refused(forward.ReasonNone, downRetry)
--- a/internal/slots/order.go
+++ b/internal/slots/order.go
@@ -52,7 +52,7 @@
 // have a free slot.
 func (s *Slot) checkNearbyWait(wait time.Duration) error {
 	if s.work.Nearby && wait > time.Duration(maxWaitFactor*float64(s.serviceTime)) {
-		return ErrWaits
+		return ErrWouldWait
 	}
 
 	return nil
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -58,7 +58,7 @@
 	ErrClosed    = errs.New("slots.closed", http.StatusServiceUnavailable, "the backend server takes no calls")
 	ErrTooLate   = errs.New("slots.too_late", http.StatusServiceUnavailable, "the call can't end in time")
 	ErrElsewhere = errs.New("slots.elsewhere", http.StatusServiceUnavailable, "the call would be late here and may go elsewhere")
-	ErrWaits     = errs.New("slots.waits", http.StatusServiceUnavailable, "the call would wait here and others near may have a slot free")
+	ErrWouldWait = errs.New("slots.waits", http.StatusServiceUnavailable, "the call would wait here and others near may have a slot free")
 	ErrCanceled  = errs.New("slots.gone", http.StatusServiceUnavailable, "the caller gave up while the call waited")
 )
 
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -308,7 +308,7 @@
 
 		w.Target = w.Target.Add(ms)
 		_, err = q.Enter(context.Background(), w)
-		assert.ErrorIs(t, err, slots.ErrWaits)
+		assert.ErrorIs(t, err, slots.ErrWouldWait)
 		assert.Equal(t, time.Since(now), time.Duration(0))
 
 		// Without a node in the same failure domain, the call waits.
