--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,31 +1,29 @@
-// Package admission decides at the gate which calls run now, which wait and
-// which are turned away.
+// Package admission is the admission queue at the gate node. It decides which calls run now,
+// which wait and which are rejected.
 //
-// # The load it answers
+// # Overload
 //
-// Bursts, saturation, long work among short and callers that send most of the
-// load. Only the process beside a backend server sees all of its work, so it
-// counts slots exactly. Without it a burst piles up inside the backend server,
-// every call gets slow and most answers come after their deadlines.
+// The queue handles bursts, saturation, long calls among short ones and callers that send
+// most of the load. It runs on the backend server's host, where all of the backend server's
+// calls pass, so its count of slots is exact. Without it a burst queues inside the backend
+// server, all calls slow down and most answers come after their deadlines.
 //
-//   - Classes: Interactive before Write before Background. Without them an
-//     archive sweep holds the slots that folder opens need. A lower class keeps
-//     a guaranteed share (WriteShare, BackgroundShare), or it would starve for
-//     as long as people work; and it leaves free the slots that the classes
-//     above it needed a moment ago (see limit), or each of its long calls would
-//     hold up a burst of short ones for as long as it runs.
-//   - Callers: inside a class the caller with the fewest slots goes next, and a
-//     full queue pushes out the newest call of the caller with the longest
-//     queue. Without it one caller with 80% of the load gets 80% of the slots.
-//   - Deadlines: a call whose expected wait and run are over its remaining time
-//     is turned away at once with the time when to come back, instead of waiting
-//     for an answer that nobody reads.
-//   - Order: first come, first served, with a bounded wait. A queue that is not
-//     empty for StandingAfter is a standing queue, no burst: waiting brings no
-//     more work through, only older calls. From then on a call may only wait
-//     for 1/StandingPart of its time. An unbounded queue in the same order
-//     serves only calls that are nearly dead; docs/design/0201-admission.md has
-//     the figures against newest first and earliest deadline first.
+//   - Classes: Interactive before Write before Background, so that an archive sweep doesn't
+//     hold the slots that folder opens need. A lower class keeps a guaranteed share
+//     (WriteShare, BackgroundShare); strict priority would starve it. It leaves free the slots
+//     that higher classes needed recently (see limit), because each of its long calls
+//     would delay a burst of short ones.
+//   - Callers: within a class the caller with the fewest slots goes next, and a full queue
+//     evicts the newest call of the caller with the longest queue. Otherwise a caller with
+//     80% of the load gets 80% of the slots.
+//   - Deadlines: a call whose expected wait and service time exceed its remaining time is
+//     rejected at once with a retry time.
+//   - Order: first come, first served, with a bounded wait. A queue that is not empty for
+//     StandingAfter is a standing queue rather than a burst: waiting adds latency without
+//     throughput. A call may then wait for at most 1/StandingPart of its remaining time.
+//     An unbounded queue in this order serves only calls close to their deadlines; see
+//     docs/design/0201-admission.md for a comparison with newest first and earliest
+//     deadline first.
 //
 // # Usage
 //
@@ -45,7 +43,7 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Errors of a call that is not let in; none of it has run.
+// Reasons for rejecting a call; the call has not run.
 var (
 	ErrFull     = errs.New("admission.full", http.StatusServiceUnavailable, "the queue is full")
 	ErrShare    = errs.New("admission.share", http.StatusTooManyRequests, "this caller has more than its share of a full queue")
@@ -55,50 +53,50 @@
 	ErrClosed   = errs.New("admission.closed", http.StatusServiceUnavailable, "the backend server is leaving")
 )
 
-// StatusClientClosed is the customary status of a call whose caller went away.
+// StatusClientClosed is the conventional status of a call whose caller has disconnected.
 const StatusClientClosed = 499
 
 // Thresholds.
 const (
-	// WriteShare and BackgroundShare of the slots are kept for these classes as
-	// long as they have work. Five percent is what a sweep needs to end within
-	// a night; the rest allows for shares being measured over a second.
+	// WriteShare and BackgroundShare are the shares of the slots guaranteed to these classes
+	// while they have calls. A sweep needs five percent to finish within a night; the rest
+	// allows for shares being measured over a second.
 	WriteShare      = 0.20
 	BackgroundShare = 0.08
-	// StandingAfter tells a burst from overload: a burst of twice the slots is
-	// through in a few service times, far less than this.
+	// StandingAfter distinguishes overload from a burst: a burst of twice the slots drains in a
+	// few service times, far less than this.
 	StandingAfter = 100 * time.Millisecond
-	// StandingPart of its time a call may wait in a standing queue; the rest is
-	// left for its run, its way back and one more attempt elsewhere.
+	// StandingPart is the divisor of the remaining time that a call may wait in a standing
+	// queue; the rest is left for its run, the answer and one more attempt on another node.
 	StandingPart = 4
 )
 
-// Ticket is what the queue needs to know of a call.
+// Ticket describes a call that requests a slot.
 type Ticket struct {
 	Class  settings.Class
 	Caller string
 	Queue  int
 }
 
-// Queue lets calls in to the slots of one backend server.
+// Queue admits calls to the slots of one backend server.
 type Queue struct {
-	order Order
-	start time.Time
+	order   Order
+	created time.Time
 
 	mu       sync.Mutex
 	slots    int
 	inFlight int
 	closed   bool
-	observed time.Duration // when the smoothed figures were last brought up to date
+	observed time.Duration // time of the last update of the smoothed values
 	classes  [classCount]class
-	served   rate
-	refused  rate
+	served   decayingRate
+	rejected decayingRate
 }
 
 // New returns a queue.
 func New(opts ...Option) *Queue {
 	o := newOptions(opts...)
-	q := &Queue{order: o.Order, slots: o.Slots, start: time.Now()}
+	q := &Queue{order: o.Order, slots: o.Slots, created: time.Now()}
 
 	for i := range q.classes {
 		q.classes[i] = newClass(o.ServiceTime)
@@ -107,17 +105,18 @@
 	return q
 }
 
-// Resize sets the slots, as the backend server announces them.
+// Resize sets the number of slots that the backend server announced.
 func (q *Queue) Resize(slots int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
 	q.slots = slots
-	q.wake(q.now())
+	q.admitWaiting(q.now())
 }
 
-// Close lets nothing more in; what runs goes on. What waits is turned away while it has time
-// to run elsewhere: behind calls that hang it would wait until the node ends.
+// Close rejects new and waiting calls; running calls continue. Waiting calls are rejected early
+// because they still have time to run on another node; behind hung calls they would wait until
+// the node ends.
 func (q *Queue) Close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -126,12 +125,12 @@
 
 	for i := range q.classes {
 		for q.classes[i].waiting > 0 {
-			q.classes[i].take(q.order).decide(ErrClosed)
+			q.classes[i].pop(q.order).decide(ErrClosed)
 		}
 	}
 }
 
-// Open lets calls in again.
+// Open admits calls again after Close.
 func (q *Queue) Open() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -139,8 +138,7 @@
 	q.closed = false
 }
 
-// Admit waits for a slot. The error is a sentinel of this package, and then the
-// call has not run.
+// Admit waits for a slot. If it returns an error, one of this package, the call has not run.
 func (q *Queue) Admit(ctx context.Context, t Ticket) (release func(), err error) {
 	w, err := q.enter(ctx, t)
 	if err != nil {
@@ -154,9 +152,9 @@
 	select {
 	case <-w.decided:
 	case <-ctx.Done():
-		q.leave(w)
+		q.abandon(w)
 
-		return nil, gaveUp(ctx)
+		return nil, contextError(ctx)
 	}
 
 	if w.err != nil {
@@ -166,7 +164,7 @@
 	return func() { q.release(w) }, nil
 }
 
-func gaveUp(ctx context.Context) error {
+func contextError(ctx context.Context) error {
 	if ctx.Err() == context.Canceled {
 		return ErrCanceled
 	}
@@ -174,10 +172,10 @@
 	return ErrDeadline
 }
 
-// now is the time since the queue was made; sums of it stay small.
-func (q *Queue) now() time.Duration { return time.Since(q.start) }
+// now returns the time since the queue was created; sums of such times stay small.
+func (q *Queue) now() time.Duration { return time.Since(q.created) }
 
-// enter starts the call, puts it in the queue or turns it away.
+// enter starts, enqueues or rejects the call.
 func (q *Queue) enter(ctx context.Context, t Ticket) (*waiter, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -189,70 +187,70 @@
 	now := q.now()
 	w := &waiter{class: t.Class.Rank(), arrived: now}
 	c := &q.classes[w.class]
-	w.line = c.line(t.Caller)
+	w.callerQueue = c.callerQueue(t.Caller)
 	q.observe(now)
 
-	if c.waiting == 0 && q.free(w.class) {
-		q.begin(w, now)
+	if c.waiting == 0 && q.hasFreeSlot(w.class) {
+		q.start(w, now)
 
 		return w, nil
 	}
 
 	if deadline, ok := ctx.Deadline(); ok {
-		w.deadline = deadline.Sub(q.start)
-		if q.tooLate(w, now) {
-			return nil, q.refuse(now, ErrWait)
+		w.deadline = deadline.Sub(q.created)
+		if q.waitTooLong(w, now) {
+			return nil, q.reject(now, ErrWait)
 		}
 	}
 
-	if err := q.makeRoom(c, w.line, t.Queue, now); err != nil {
+	if err := q.makeRoom(c, w.callerQueue, t.Queue, now); err != nil {
 		return nil, err
 	}
 
 	w.decided = make(chan struct{})
 	c.push(w, now)
 	q.observe(now)
-	q.wake(now)
+	q.admitWaiting(now)
 
 	return w, nil
 }
 
-// makeRoom keeps the queue bounded. The bound hits whoever uses most of it:
-// without this a caller that floods the queue turns everyone else away.
-func (q *Queue) makeRoom(c *class, l *line, limit int, now time.Duration) error {
+// makeRoom bounds the queue by evicting a call of the caller with the longest queue. Otherwise a
+// caller that floods the queue causes the calls of all others to be rejected.
+func (q *Queue) makeRoom(c *class, l *callerQueue, limit int, now time.Duration) error {
 	if c.waiting < limit {
 		return nil
 	}
 
 	longest := c.longest()
 	if longest == nil || len(longest.waiters) <= len(l.waiters)+1 {
-		return q.refuse(now, ErrFull)
+		return q.reject(now, ErrFull)
 	}
 
 	newest := longest.waiters[len(longest.waiters)-1]
 	c.remove(newest)
-	newest.decide(q.refuse(now, ErrShare))
+	newest.decide(q.reject(now, ErrShare))
 
 	return nil
 }
 
-func (q *Queue) refuse(now time.Duration, err error) error {
-	q.refused.add(now)
+func (q *Queue) reject(now time.Duration, err error) error {
+	q.rejected.add(now)
 
 	return err
 }
 
-// begin gives the call a slot.
-func (q *Queue) begin(w *waiter, now time.Duration) {
+// start assigns a slot to the call.
+func (q *Queue) start(w *waiter, now time.Duration) {
 	w.started = now
 	q.inFlight++
-	q.classes[w.class].begin(w)
+	q.classes[w.class].start(w)
 	q.observe(now)
 }
 
-// leave takes a call out whose caller went away or whose deadline passed. If it
-// was given a slot in the same moment, the slot goes back.
-func (q *Queue) leave(w *waiter) {
+// abandon removes a call that was canceled or has passed its deadline. If it has been granted a
+// slot in the meantime, the slot is released.
+func (q *Queue) abandon(w *waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -274,7 +272,7 @@
 	defer q.mu.Unlock()
 
 	now := q.now()
-	q.classes[w.class].learn(now - w.started)
+	q.classes[w.class].observeServiceTime(now - w.started)
 	q.served.add(now)
 	q.end(w, now)
 }
@@ -283,51 +281,51 @@
 	q.observe(now)
 	q.inFlight--
 	q.classes[w.class].end(w)
-	q.wake(now)
+	q.admitWaiting(now)
 }
 
-// wake gives free slots to waiting calls.
-func (q *Queue) wake(now time.Duration) {
+// admitWaiting assigns free slots to waiting calls.
+func (q *Queue) admitWaiting(now time.Duration) {
 	for {
-		w := q.next(now)
+		w := q.dequeue(now)
 		if w == nil {
 			return
 		}
 
-		if w.deadline > 0 && w.deadline-now < q.classes[w.class].typical {
-			// It could not end in time; a slot given to it is lost for the next.
-			w.decide(q.refuse(now, ErrDeadline))
+		if w.deadline > 0 && w.deadline-now < q.classes[w.class].meanServiceTime {
+			// The call can't end before its deadline; the slot goes to the next one.
+			w.decide(q.reject(now, ErrDeadline))
 
 			continue
 		}
 
-		q.begin(w, now)
+		q.start(w, now)
 		w.decide(nil)
 	}
 }
 
-// next takes the call out of the queue that gets the next free slot.
-func (q *Queue) next(now time.Duration) *waiter {
+// dequeue removes and returns the call that gets the next free slot.
+func (q *Queue) dequeue(now time.Duration) *waiter {
 	q.observe(now)
 
-	// A class below its guaranteed share goes first, the lowest of them before
-	// the others, since it is the one that strict order would starve.
+	// Classes below their guaranteed share go first, the lowest first, since strict priority
+	// would starve it most.
 	for i := classCount - 1; i > 0; i-- {
-		if q.owed(i) && q.free(i) {
-			return q.classes[i].take(q.order)
+		if q.belowGuaranteedShare(i) && q.hasFreeSlot(i) {
+			return q.classes[i].pop(q.order)
 		}
 	}
 
 	for i := range q.classes {
-		if q.classes[i].waiting > 0 && q.free(i) {
-			return q.classes[i].take(q.order)
+		if q.classes[i].waiting > 0 && q.hasFreeSlot(i) {
+			return q.classes[i].pop(q.order)
 		}
 	}
 
 	return nil
 }
 
-// Load returns what the gate tells about itself.
+// Load returns the load that the gate reports.
 func (q *Queue) Load() call.Load {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -338,11 +336,11 @@
 	for i := range q.classes {
 		l.Queued += q.classes[i].waiting
 		l.Work[i] = q.inFlight + l.Queued
-		l.Usual[i] = q.classes[i].usual
+		l.Usual[i] = q.classes[i].meanWork
 	}
 
 	if q.inFlight >= q.slots {
-		l.Wait = settings.Duration(q.expected(0, nil, q.now()))
+		l.Wait = settings.Duration(q.expectedWait(0, nil, q.now()))
 	}
 
 	return l
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -17,31 +17,31 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// stream is calls of one kind that arrive at random moments at a fixed mean
-// rate, whether or not earlier ones were answered.
-type stream struct {
-	name     string
-	class    settings.Class
-	caller   string
-	rate     float64
-	hold     time.Duration
-	deadline time.Duration
-	queue    int
+// workload describes calls of one kind that arrive at random times at a fixed mean rate,
+// independent of answers.
+type workload struct {
+	name        string
+	class       settings.Class
+	caller      string
+	rate        float64
+	serviceTime time.Duration
+	deadline    time.Duration
+	queue       int
 }
 
-// result is what callers of one stream got.
-type result struct {
+// results counts the outcomes of a workload's calls.
+type results struct {
 	sent, inTime, late int
-	refused            map[error]int
-	away               []time.Duration // how long each turned away call took
-	took               []time.Duration // how long each answered call took
+	rejected           map[error]int
+	rejectedAfter      []time.Duration // time until rejection
+	answeredAfter      []time.Duration // time until the answer
 }
 
-func (r *result) success() float64 { return float64(r.inTime) / float64(max(r.sent, 1)) }
+func (r *results) successRate() float64 { return float64(r.inTime) / float64(max(r.sent, 1)) }
 
-// busy is the time that answered calls held slots, as a share of all slots.
-func busy(r *result, held, d time.Duration) float64 {
-	return float64(r.inTime) * held.Seconds() / (slots * d.Seconds())
+// slotUsage returns the share of all slot time that answered calls used.
+func slotUsage(r *results, serviceTime, d time.Duration) float64 {
+	return float64(r.inTime) * serviceTime.Seconds() / (slots * d.Seconds())
 }
 
 func quantile(all []time.Duration, q float64) time.Duration {
@@ -54,18 +54,18 @@
 	return all[int(q*float64(len(all)-1))]
 }
 
-// play sends the streams to a queue for some time of the paused clock.
-func play(t *testing.T, q *admission.Queue, d time.Duration, streams ...stream) map[string]*result {
+// runLoad sends the workloads to a queue for the given time of the synctest clock.
+func runLoad(t *testing.T, q *admission.Queue, d time.Duration, workloads ...workload) map[string]*results {
 	t.Helper()
 
 	var (
 		mu  sync.Mutex
 		wg  sync.WaitGroup
-		out = map[string]*result{}
+		out = map[string]*results{}
 	)
 
-	for i, s := range streams {
-		r := &result{refused: map[error]int{}}
+	for i, s := range workloads {
+		r := &results{rejected: map[error]int{}}
 		out[s.name] = r
 		random := rand.New(rand.NewPCG(1, uint64(i)))
 		end := time.Now().Add(d)
@@ -76,7 +76,7 @@
 
 				r.sent++
 
-				wg.Go(func() { one(t.Context(), q, s, r, &mu) })
+				wg.Go(func() { runCall(t.Context(), q, s, r, &mu) })
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 	return out
 }
 
-func one(ctx context.Context, q *admission.Queue, s stream, r *result, mu *sync.Mutex) {
+func runCall(ctx context.Context, q *admission.Queue, s workload, r *results, mu *sync.Mutex) {
 	ctx, cancel := context.WithTimeout(ctx, s.deadline)
 	defer cancel()
 
@@ -94,7 +94,7 @@
 
 	release, err := q.Admit(ctx, admission.Ticket{Class: s.class, Caller: s.caller, Queue: s.queue})
 	if err == nil {
-		time.Sleep(s.hold)
+		time.Sleep(s.serviceTime)
 		release()
 	}
 
@@ -103,69 +103,68 @@
 
 	switch {
 	case err != nil:
-		r.refused[err]++
-		r.away = append(r.away, time.Since(start))
+		r.rejected[err]++
+		r.rejectedAfter = append(r.rejectedAfter, time.Since(start))
 	case ctx.Err() != nil:
 		r.late++
 	default:
 		r.inTime++
-		r.took = append(r.took, time.Since(start))
+		r.answeredAfter = append(r.answeredAfter, time.Since(start))
 	}
 }
 
 const (
-	slots = 10
-	hold  = 20 * time.Millisecond
-	full  = 500 // calls a second that fill the slots
+	slots          = 10
+	serviceTime    = 20 * time.Millisecond
+	saturationRate = 500 // calls a second that use all slots
 )
 
-func interactive(name string, rate float64) stream {
-	return stream{
-		name: name, class: settings.ClassInteractive, caller: name, rate: rate, hold: hold, deadline: time.Second, queue: 64,
+func interactive(name string, rate float64) workload {
+	return workload{
+		name: name, class: settings.ClassInteractive, caller: name, rate: rate, serviceTime: serviceTime, deadline: time.Second, queue: 64,
 	}
 }
 
-func TestABurstWithinTheQueueIsServedWhole(t *testing.T) {
+func TestBurstWithinQueueLimitIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := admission.New(admission.Slots(slots), admission.ServiceTime(hold))
+		q := admission.New(admission.Slots(slots), admission.ServiceTime(serviceTime))
 
 		var wg sync.WaitGroup
 
-		r := &result{refused: map[error]int{}}
+		r := &results{rejected: map[error]int{}}
 
 		var mu sync.Mutex
 
 		for range 5 * slots {
-			wg.Go(func() { one(t.Context(), q, interactive("desk", 0), r, &mu) })
+			wg.Go(func() { runCall(t.Context(), q, interactive("desk", 0), r, &mu) })
 		}
 
 		wg.Wait()
 		assert.Equal(t, r.inTime, 5*slots)
-		assert.Equal(t, quantile(r.took, 1), 5*hold)
+		assert.Equal(t, quantile(r.answeredAfter, 1), 5*serviceTime)
 	})
 }
 
-// Twice as many calls come as the backend server can run. Served in the order of
-// arrival from a long queue, every answer comes when its caller has nearly given
-// up. People see a system that is slow for all, for as long as the load lasts.
-func TestAtTwiceSaturationGoodputHoldsAndTheRestHearAtOnce(t *testing.T) {
+// The load is twice the capacity. With a long queue in order of arrival, every answer comes shortly
+// before its caller times out, and all callers see high latency as long as the load lasts.
+func TestOverloadKeepsGoodputAndRejectsEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const d = 5 * time.Second
 
 		q := admission.New(admission.Slots(slots))
-		r := play(t, q, d, interactive("desk", 2*full))["desk"]
-		letIn := r.inTime + r.late
+		r := runLoad(t, q, d, interactive("desk", 2*saturationRate))["desk"]
+		admitted := r.inTime + r.late
 
-		assert.Assert(t, busy(r, hold, d) >= 0.9, "goodput %.2f", busy(r, hold, d))
-		assert.Assert(t, float64(r.inTime) >= 0.95*float64(letIn), "%d of %d", r.inTime, letIn)
-		assert.Assert(t, quantile(r.away, 0.99) <= 5*time.Millisecond, "%s", quantile(r.away, 0.99))
-		assert.Assert(t, quantile(r.took, 0.99) <= time.Second/2, "%s", quantile(r.took, 0.99))
+		assert.Assert(t, slotUsage(r, serviceTime, d) >= 0.9, "goodput %.2f", slotUsage(r, serviceTime, d))
+		assert.Assert(t, float64(r.inTime) >= 0.95*float64(admitted), "%d of %d", r.inTime, admitted)
+		assert.Assert(t, quantile(r.rejectedAfter, 0.99) <= 5*time.Millisecond, "%s", quantile(r.rejectedAfter, 0.99))
+		assert.Assert(t, quantile(r.answeredAfter, 0.99) <= time.Second/2, "%s", quantile(r.answeredAfter, 0.99))
 	})
 }
 
-// TestOrders prints the figures of docs/design/0201-admission.md and holds the
-// order that was chosen to what it was chosen for.
-func TestOrders(t *testing.T) {
+// Prints the figures of docs/design/0201-admission.md and checks that oldest first, the
+// default, rejects early.
+func TestOrdersOldestFirstRejectsEarly(t *testing.T) {
 	const d = 5 * time.Second
 
 	for _, o := range []struct {
@@ -178,30 +177,31 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			q := admission.New(admission.Slots(slots), admission.WithOrder(o.order))
-			short := interactive("desk", full)
+			short := interactive("desk", saturationRate)
 			short.deadline = 200 * time.Millisecond
-			long := interactive("counter", full)
-			short.queue, long.queue = 256, 256 // the order alone, not the bound
-			r := play(t, q, d, short, long)
+			long := interactive("counter", saturationRate)
+			short.queue, long.queue = 256, 256 // large enough that only the order matters
+			r := runLoad(t, q, d, short, long)
 			a, b := r["desk"], r["counter"]
-			away := quantile(append(slices.Clone(a.away), b.away...), 0.99)
-			t.Logf("%-14s goodput %.2f, p99 of answers %s and %s, p99 of turning away %s, late %d", o.name,
-				busy(a, hold, d)+busy(b, hold, d), quantile(a.took, 0.99), quantile(b.took, 0.99), away, a.late+b.late)
+			rejectedAfter := quantile(append(slices.Clone(a.rejectedAfter), b.rejectedAfter...), 0.99)
+			t.Logf("%-14s goodput %.2f, p99 of answers %s and %s, p99 of rejections %s, late %d", o.name,
+				slotUsage(a, serviceTime, d)+slotUsage(b, serviceTime, d),
+				quantile(a.answeredAfter, 0.99), quantile(b.answeredAfter, 0.99), rejectedAfter, a.late+b.late)
 
 			if o.order == admission.OldestFirst {
-				assert.Assert(t, away <= 5*time.Millisecond)
+				assert.Assert(t, rejectedAfter <= 5*time.Millisecond)
 			}
 		})
 	}
 }
 
-// The nightly archive sweep sends all it can, and each of its calls runs for
-// long. People who open a folder at that time wait for a sweep call to end.
-func TestAnArchiveSweepNeitherHoldsUpFoldersNorStarves(t *testing.T) {
+// A nightly archive sweep sends as many long calls as it can. Without reserved slots, folder opens
+// wait for a sweep call to end.
+func TestBackgroundLoadNeitherDelaysInteractiveCallsNorStarves(t *testing.T) {
 	const d = 20 * time.Second
 
-	sweep := stream{
-		name: "sweep", class: settings.ClassBackground, caller: "sweep", rate: 200, hold: 200 * time.Millisecond,
+	sweep := workload{
+		name: "sweep", class: settings.ClassBackground, caller: "sweep", rate: 200, serviceTime: 200 * time.Millisecond,
 		deadline: 30 * time.Second, queue: 256,
 	}
 
@@ -209,89 +209,88 @@
 
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.New(admission.Slots(slots))
-		alone = quantile(play(t, q, d, interactive("desk", full/2))["desk"].took, 0.99)
+		alone = quantile(runLoad(t, q, d, interactive("desk", saturationRate/2))["desk"].answeredAfter, 0.99)
 	})
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.New(admission.Slots(slots))
-		r := play(t, q, d, interactive("desk", full/2), sweep)
-		among = quantile(r["desk"].took, 0.99)
-		share := busy(r["sweep"], sweep.hold, d)
-		t.Logf("p99 %s alone, %s beside the sweep, which held %.2f of the slots", alone, among, share)
+		r := runLoad(t, q, d, interactive("desk", saturationRate/2), sweep)
+		among = quantile(r["desk"].answeredAfter, 0.99)
+		share := slotUsage(r["sweep"], sweep.serviceTime, d)
+		t.Logf("p99 %s alone, %s with the sweep, which used %.2f of the slots", alone, among, share)
 		assert.Assert(t, share >= 0.05, "share %.3f", share)
-		assert.Assert(t, r["desk"].success() > 0.99)
+		assert.Assert(t, r["desk"].successRate() > 0.99)
 	})
 	assert.Assert(t, float64(among) <= 1.5*float64(alone), "%s and %s", alone, among)
 }
 
-// People keep every slot busy all day. A sweep that only runs when nothing else
-// waits never ends, and yesterday's minutes go missing from search.
-func TestBackgroundAndWritesKeepTheirShareUnderSaturation(t *testing.T) {
+// Interactive calls demand every slot all day. With strict priority a sweep never ends, and
+// search misses yesterday's data.
+func TestWriteAndBackgroundKeepGuaranteedShareInOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const d = 20 * time.Second
 
 		q := admission.New(admission.Slots(slots))
-		write := interactive("upload", full)
+		write := interactive("upload", saturationRate)
 		write.class = settings.ClassWrite
-		sweep := interactive("sweep", full)
+		sweep := interactive("sweep", saturationRate)
 		sweep.class, sweep.deadline, sweep.queue = settings.ClassBackground, 30*time.Second, 256
 
-		r := play(t, q, d, interactive("desk", 2*full), write, sweep)
-		shares := fmt.Sprintf("desk %.3f upload %.3f sweep %.3f", busy(r["desk"], hold, d),
-			busy(r["upload"], hold, d), busy(r["sweep"], hold, d))
+		r := runLoad(t, q, d, interactive("desk", 2*saturationRate), write, sweep)
+		shares := fmt.Sprintf("desk %.3f upload %.3f sweep %.3f", slotUsage(r["desk"], serviceTime, d),
+			slotUsage(r["upload"], serviceTime, d), slotUsage(r["sweep"], serviceTime, d))
 		t.Log(shares)
-		assert.Assert(t, busy(r["sweep"], hold, d) >= 0.05, shares)
-		assert.Assert(t, busy(r["upload"], hold, d) >= 0.15, shares)
-		assert.Assert(t, busy(r["desk"], hold, d) >= 0.5, shares)
+		assert.Assert(t, slotUsage(r["sweep"], serviceTime, d) >= 0.05, shares)
+		assert.Assert(t, slotUsage(r["upload"], serviceTime, d) >= 0.15, shares)
+		assert.Assert(t, slotUsage(r["desk"], serviceTime, d) >= 0.5, shares)
 	})
 }
 
-// One script of one customer sends four fifths of all calls. The others need
-// less than the slots they are due, and still find the queue full.
-func TestAHotCallerTakesOnlyItsShare(t *testing.T) {
+// One caller sends four fifths of all calls. The other callers need less than their share of the
+// slots, but could find the queue full.
+func TestHotCallerTakesOnlyItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.New(admission.Slots(slots))
-		streams := []stream{interactive("hot", 4*full)}
+		workloads := []workload{interactive("hot", 4*saturationRate)}
 
 		for i := range 5 {
-			streams = append(streams, interactive(fmt.Sprint("caller-", i), full/10))
+			workloads = append(workloads, interactive(fmt.Sprint("caller-", i), saturationRate/10))
 		}
 
-		r := play(t, q, 10*time.Second, streams...)
+		r := runLoad(t, q, 10*time.Second, workloads...)
 
 		for i := range 5 {
 			c := r[fmt.Sprint("caller-", i)]
-			assert.Assert(t, c.success() > 0.95, "%.3f, refused %v", c.success(), c.refused)
+			assert.Assert(t, c.successRate() > 0.95, "%.3f, rejected %v", c.successRate(), c.rejected)
 		}
 
 		assert.Assert(t, r["hot"].inTime > 0)
 	})
 }
 
-// A folder that everyone opens at once: calls of many callers, no one of whom is
-// over a share. Nobody is to be starved.
-func TestManyCallersShareEvenly(t *testing.T) {
+// Many callers open the same folder at once, each within its share. None may starve.
+func TestManyCallersShareSlotsEvenly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.New(admission.Slots(slots))
 
-		var streams []stream
+		var workloads []workload
 		for i := range 20 {
-			streams = append(streams, interactive(fmt.Sprint("caller-", i), full/10))
+			workloads = append(workloads, interactive(fmt.Sprint("caller-", i), saturationRate/10))
 		}
 
-		r := play(t, q, 10*time.Second, streams...)
+		r := runLoad(t, q, 10*time.Second, workloads...)
 
 		var least, most float64 = 1, 0
 		for _, c := range r {
-			least, most = min(least, c.success()), max(most, c.success())
+			least, most = min(least, c.successRate()), max(most, c.successRate())
 		}
 
 		assert.Assert(t, least > 0.7*most, "%.2f to %.2f", least, most)
 	})
 }
 
-// The backend server hangs: no call ends, so nothing new is learned about how
-// long calls take. Calls must not be kept waiting until their deadlines.
-func TestAHungBackendServerTurnsCallsAwayAtOnce(t *testing.T) {
+// The backend server hangs: no call ends, so no service time is observed. Calls must not wait
+// until their deadlines.
+func TestHungBackendServerRejectsCallsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.New(admission.Slots(slots), admission.ServiceTime(2*time.Millisecond))
 
@@ -313,9 +312,8 @@
 	})
 }
 
-// A caller hangs up while its call waits. Its place must go to the next one, and
-// its call must not run for nobody.
-func TestACallWhoseCallerWentAwayLeavesTheQueue(t *testing.T) {
+// A caller cancels while its call waits. The call must be removed and must not run.
+func TestCanceledCallIsRemovedFromTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.New(admission.Slots(1))
 		release, err := q.Admit(t.Context(), admission.Ticket{Queue: 4})
@@ -339,11 +337,10 @@
 	})
 }
 
-// A node is stopped while calls hang at its backend server and others wait behind them. Those
-// were handed on when the stop's time was over, and cut off: their callers were told that
-// nobody knows whether they ran. Turned away at once, they have all the time of the stop to
-// run elsewhere, like the calls that come after them.
-func TestAClosedQueueSendsWhatWaitsElsewhereAndFinishesWhatRuns(t *testing.T) {
+// A node drains while calls hang at its backend server and others wait behind them. If waiting
+// calls were kept until the drain ends, their connections would be cut with an unknown outcome.
+// Rejected at once, they have the whole drain time to run on another node.
+func TestClosedQueueRejectsWaitingCallsAndFinishesRunningOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.New(admission.Slots(1))
 		release, err := q.Admit(t.Context(), admission.Ticket{Queue: 4})
@@ -383,8 +380,7 @@
 	})
 }
 
-// Slots are what the backend server can take; one call more and it may shed
-// calls or slow down for all.
+// A backend server with more calls than slots may shed calls or slow down for all of them.
 func TestNeverMoreThanTheSlotsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.New(admission.Slots(slots))
@@ -430,7 +426,7 @@
 	})
 }
 
-func TestLettingInAllocatesLittle(t *testing.T) {
+func TestAdmitAllocatesAtMostTwice(t *testing.T) {
 	q := admission.New(admission.Slots(slots))
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 
--- a/internal/admission/class.go
+++ b/internal/admission/class.go
@@ -8,15 +8,15 @@
 
 const classCount = settings.ClassCount
 
-// waiter is one call in the queue or in a slot.
+// waiter is a waiting or running call.
 type waiter struct {
-	class    int
-	line     *line
-	arrived  time.Duration
-	deadline time.Duration
-	started  time.Duration
-	decided  chan struct{} // nil if it never waited
-	err      error
+	class       int
+	callerQueue *callerQueue
+	arrived     time.Duration
+	deadline    time.Duration
+	started     time.Duration
+	decided     chan struct{} // nil if the call started without waiting
+	err         error
 }
 
 func (w *waiter) decide(err error) {
@@ -24,73 +24,72 @@
 	close(w.decided)
 }
 
-// line is the calls of one caller in one class.
-type line struct {
+// callerQueue holds the calls of one caller in one class.
+type callerQueue struct {
 	caller   string
 	waiters  []*waiter
 	inFlight int
-	turn     uint64
+	lastTurn uint64
 }
 
-// class is the calls of one class.
+// class holds the calls of one class.
 type class struct {
 	waiting  int
 	inFlight int
-	lines    map[string]*line
-	active   []*line // lines with waiting calls
-	turn     uint64
+	queues   map[string]*callerQueue
+	active   []*callerQueue // queues with waiting calls
+	lastTurn uint64
 
-	typical  time.Duration // smoothed time that a call holds a slot
-	starts   time.Duration // sum of the start times of the running calls
-	share    float64       // smoothed share of the slots
-	peak     float64       // slots wanted by this class and those above, decaying
-	standing time.Duration // since when calls have been waiting
-	usual    float64       // smoothed count of calls in front of a new one
+	meanServiceTime time.Duration // smoothed
+	startTimeSum    time.Duration // sum of the start times of the running calls
+	usedShare       float64       // smoothed share of the slots
+	peakDemand      float64       // decaying peak of the slots wanted by this class and higher ones
+	waitingSince    time.Duration // when the queue last became non-empty
+	meanWork        float64       // smoothed number of calls ahead of a new one
 }
 
-func newClass(typical time.Duration) class {
-	return class{lines: map[string]*line{}, typical: typical}
+func newClass(meanServiceTime time.Duration) class {
+	return class{queues: map[string]*callerQueue{}, meanServiceTime: meanServiceTime}
 }
 
-// maxIdleLines bounds the lines that are kept without calls, to save making
-// them anew for a caller that comes back.
-const maxIdleLines = 256
+// maxIdleQueues bounds the empty caller queues that are kept for reuse.
+const maxIdleQueues = 256
 
-func (c *class) line(caller string) *line {
-	l := c.lines[caller]
+func (c *class) callerQueue(caller string) *callerQueue {
+	l := c.queues[caller]
 	if l == nil {
-		l = &line{caller: caller}
-		c.lines[caller] = l
+		l = &callerQueue{caller: caller}
+		c.queues[caller] = l
 	}
 
 	return l
 }
 
-func (c *class) drop(l *line) {
-	if l.inFlight == 0 && len(l.waiters) == 0 && len(c.lines) > maxIdleLines {
-		delete(c.lines, l.caller)
+func (c *class) dropIfIdle(l *callerQueue) {
+	if l.inFlight == 0 && len(l.waiters) == 0 && len(c.queues) > maxIdleQueues {
+		delete(c.queues, l.caller)
 	}
 }
 
 func (c *class) push(w *waiter, now time.Duration) {
 	if c.waiting == 0 {
-		c.standing = now
+		c.waitingSince = now
 	}
 
-	if len(w.line.waiters) == 0 {
-		c.active = append(c.active, w.line)
+	if len(w.callerQueue.waiters) == 0 {
+		c.active = append(c.active, w.callerQueue)
 	}
 
-	c.lines[w.line.caller] = w.line
-	w.line.waiters = append(w.line.waiters, w)
+	c.queues[w.callerQueue.caller] = w.callerQueue
+	w.callerQueue.waiters = append(w.callerQueue.waiters, w)
 	c.waiting++
 }
 
-// remove takes a waiting call out and reports whether it was there.
+// remove removes a waiting call and reports whether it was found.
 func (c *class) remove(w *waiter) bool {
-	for i, other := range w.line.waiters {
+	for i, other := range w.callerQueue.waiters {
 		if other == w {
-			c.removeAt(w.line, i)
+			c.removeAt(w.callerQueue, i)
 
 			return true
 		}
@@ -99,7 +98,7 @@
 	return false
 }
 
-func (c *class) removeAt(l *line, i int) {
+func (c *class) removeAt(l *callerQueue, i int) {
 	l.waiters = append(l.waiters[:i], l.waiters[i+1:]...)
 	c.waiting--
 
@@ -115,19 +114,19 @@
 		}
 	}
 
-	c.drop(l)
+	c.dropIfIdle(l)
 }
 
-// take takes the next call: of the caller with the fewest slots, and among
-// equals of the one whose last turn is longest ago.
-func (c *class) take(order Order) *waiter {
+// pop removes and returns the next call: of the caller with the fewest slots and, among equals,
+// of the one whose last turn is the oldest.
+func (c *class) pop(order Order) *waiter {
 	if c.waiting == 0 {
 		return nil
 	}
 
 	best := c.active[0]
 	for _, l := range c.active[1:] {
-		if l.inFlight < best.inFlight || l.inFlight == best.inFlight && l.turn < best.turn {
+		if l.inFlight < best.inFlight || l.inFlight == best.inFlight && l.lastTurn < best.lastTurn {
 			best = l
 		}
 	}
@@ -139,8 +138,8 @@
 	return w
 }
 
-func (c *class) longest() *line {
-	var longest *line
+func (c *class) longest() *callerQueue {
+	var longest *callerQueue
 
 	for _, l := range c.active {
 		if longest == nil || len(l.waiters) > len(longest.waiters) {
@@ -151,39 +150,38 @@
 	return longest
 }
 
-func (c *class) begin(w *waiter) {
-	c.turn++
-	c.lines[w.line.caller] = w.line
-	w.line.turn = c.turn
-	w.line.inFlight++
+func (c *class) start(w *waiter) {
+	c.lastTurn++
+	c.queues[w.callerQueue.caller] = w.callerQueue
+	w.callerQueue.lastTurn = c.lastTurn
+	w.callerQueue.inFlight++
 	c.inFlight++
-	c.starts += w.started
+	c.startTimeSum += w.started
 }
 
 func (c *class) end(w *waiter) {
-	w.line.inFlight--
+	w.callerQueue.inFlight--
 	c.inFlight--
-	c.starts -= w.started
-	c.drop(w.line)
+	c.startTimeSum -= w.started
+	c.dropIfIdle(w.callerQueue)
 }
 
-// learn smooths the time that a call holds a slot over some 16 calls: long
-// enough that a single odd call moves it little, short enough to follow a
-// backend server that slows down within a second.
-func (c *class) learn(held time.Duration) {
+// observeServiceTime smooths the service time over about 16 calls: enough that a single outlier
+// has little effect, and few enough to follow a backend server that slows down within a second.
+func (c *class) observeServiceTime(serviceTime time.Duration) {
 	const weight = 16
 
-	c.typical += (held - c.typical) / weight
+	c.meanServiceTime += (serviceTime - c.meanServiceTime) / weight
 }
 
-// hold is how long a call is thought to hold a slot. If the backend server
-// hangs, no call ends and nothing is learned; the age of what runs shows it.
-func (c *class) hold(now time.Duration) time.Duration {
+// expectedServiceTime estimates the service time. While the backend server hangs, no call ends
+// and the mean is not updated; the mean age of the running calls then gives a better estimate.
+func (c *class) expectedServiceTime(now time.Duration) time.Duration {
 	if c.inFlight == 0 {
-		return c.typical
+		return c.meanServiceTime
 	}
 
-	age := now - c.starts/time.Duration(c.inFlight)
+	age := now - c.startTimeSum/time.Duration(c.inFlight)
 
-	return max(c.typical, age)
+	return max(c.meanServiceTime, age)
 }
--- a/internal/admission/expect.go
+++ b/internal/admission/expect.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// memory is how long shares, peaks and rates remember: a second holds hundreds
-// of short calls, and a caller notices no shift that takes a second.
-const memory = time.Second
+// smoothingTime is the time constant for shares and rates: a second covers hundreds
+// of short calls, and callers don't notice shifts within it.
+const smoothingTime = time.Second
 
-// peakMemory is how long slots stay free that the classes above wanted: several
-// times as long as a sweep's call runs, or each gap in the folder opens is filled
-// with work that is still there when they come back.
-const peakMemory = 2 * time.Second
+// peakDecayTime is the time constant with which the peak demand of higher classes decays.
+// It is several times as long as a sweep's call; otherwise the gaps between folder opens
+// fill with background calls that still run when the next folder opens come.
+const peakDecayTime = 2 * time.Second
 
-// observe brings the smoothed figures up to now. It is called before and after
-// each change, so that each state counts for as long as it lasted.
+// observe updates the smoothed values to the given time. It is called before and after each
+// change, so that each state is weighted by its duration.
 func (q *Queue) observe(now time.Duration) {
 	var wanted int
 
 	for i := range q.classes {
 		c := &q.classes[i]
 		wanted += c.inFlight + c.waiting
-		c.peak = max(c.peak, float64(min(wanted, q.slots)))
+		c.peakDemand = max(c.peakDemand, float64(min(wanted, q.slots)))
 	}
 
 	since := now - q.observed
@@ -32,47 +32,47 @@
 	}
 
 	q.observed = now
-	keep := math.Exp(-float64(since) / float64(memory))
+	keep := math.Exp(-float64(since) / float64(smoothingTime))
 	work := q.inFlight
-	keepPeak := math.Exp(-float64(since) / float64(peakMemory))
+	keepPeak := math.Exp(-float64(since) / float64(peakDecayTime))
 	wanted = 0
 
 	for i := range q.classes {
 		c := &q.classes[i]
 		wanted += c.inFlight + c.waiting
 		current := float64(min(wanted, q.slots))
-		c.peak = current + (c.peak-current)*keepPeak
+		c.peakDemand = current + (c.peakDemand-current)*keepPeak
 		used := float64(c.inFlight) / float64(max(q.slots, 1))
-		c.share = used + (c.share-used)*keep
+		c.usedShare = used + (c.usedShare-used)*keep
 		work += c.waiting
-		c.usual = float64(work) + (c.usual-float64(work))*keep
+		c.meanWork = float64(work) + (c.meanWork-float64(work))*keep
 	}
 }
 
-// owed reports whether a class has work and less than its guaranteed share.
-func (q *Queue) owed(i int) bool {
-	return q.classes[i].waiting > 0 && q.classes[i].share < guaranteed[i]
+// belowGuaranteedShare reports whether a class has waiting calls and less than its guaranteed share.
+func (q *Queue) belowGuaranteedShare(i int) bool {
+	return q.classes[i].waiting > 0 && q.classes[i].usedShare < guaranteedShares[i]
 }
 
-var guaranteed = [classCount]float64{0, WriteShare, BackgroundShare}
+var guaranteedShares = [classCount]float64{0, WriteShare, BackgroundShare}
 
-// free reports whether the class may take one more slot.
-func (q *Queue) free(i int) bool {
+// hasFreeSlot reports whether the class may take one more slot.
+func (q *Queue) hasFreeSlot(i int) bool {
 	return q.inFlight < q.slots && q.classes[i].inFlight < q.limit(i)
 }
 
-// limit is how many slots a class may hold: all but those that the classes
-// above it wanted in the last seconds, yet never less than its guaranteed share.
+// limit returns the number of slots a class may hold: all except the recent peak demand of
+// higher classes, but at least its guaranteed share.
 //
-// Without it the slots that short calls leave free for a moment fill up with
-// long calls, and the next folder open waits for a sweep to end.
+// Otherwise long calls fill the slots that short calls leave free for a moment, and the next
+// folder open waits for a sweep call to end.
 func (q *Queue) limit(i int) int {
 	if i == 0 {
 		return q.slots
 	}
 
-	above := int(math.Ceil(q.classes[i-1].peak))
-	least := max(1, int(guaranteed[i]*float64(q.slots)))
+	above := int(math.Ceil(q.classes[i-1].peakDemand))
+	least := max(1, int(guaranteedShares[i]*float64(q.slots)))
 	limit := max(least, q.slots-above)
 
 	if i == classCount-1 && q.slots > 1 {
@@ -82,23 +82,23 @@
 	return limit
 }
 
-// expected is how long a call that comes now waits: for the classes above it,
-// for its share of turns in its own class, and for one call to end.
-func (q *Queue) expected(i int, l *line, now time.Duration) time.Duration {
+// expectedWait estimates how long a new call waits: for the calls of higher classes, for the
+// turns ahead of it in its own class and for one running call to end.
+func (q *Queue) expectedWait(i int, l *callerQueue, now time.Duration) time.Duration {
 	var work time.Duration
 
 	for j := range i {
-		work += q.classes[j].hold(now) * time.Duration(q.classes[j].waiting)
+		work += q.classes[j].expectedServiceTime(now) * time.Duration(q.classes[j].waiting)
 	}
 
-	work += q.classes[i].hold(now) * time.Duration(q.turnsBefore(i, l)+1)
+	work += q.classes[i].expectedServiceTime(now) * time.Duration(q.turnsAhead(i, l)+1)
 
-	return work / time.Duration(q.reachable(i))
+	return work / time.Duration(q.availableSlots(i))
 }
 
-// reachable is how many slots the class gets turns of: not those that lower
-// classes hold, since their calls can be long.
-func (q *Queue) reachable(i int) int {
+// availableSlots returns the number of slots that serve the class. Slots of lower classes don't
+// count, since their calls can be long.
+func (q *Queue) availableSlots(i int) int {
 	slots := q.slots
 	for j := i + 1; j < classCount; j++ {
 		slots -= q.classes[j].inFlight
@@ -107,9 +107,9 @@
 	return max(1, min(slots, q.limit(i)))
 }
 
-// turnsBefore counts the calls that go before the next one of this caller: each
-// other caller has as many turns as this one.
-func (q *Queue) turnsBefore(i int, l *line) int {
+// turnsAhead counts the calls that run before the next one of this caller, given that callers
+// take turns.
+func (q *Queue) turnsAhead(i int, l *callerQueue) int {
 	c := &q.classes[i]
 	if l == nil {
 		return c.waiting
@@ -125,24 +125,23 @@
 	return turns
 }
 
-// tooLate reports whether the call would not end in time, or would only join a
+// waitTooLong reports whether the call can't end before its deadline or would wait too long in a
 // standing queue.
-func (q *Queue) tooLate(w *waiter, now time.Duration) bool {
+func (q *Queue) waitTooLong(w *waiter, now time.Duration) bool {
 	c := &q.classes[w.class]
 	remaining := w.deadline - now
-	wait := q.expected(w.class, w.line, now)
+	wait := q.expectedWait(w.class, w.callerQueue, now)
 
-	if c.waiting > 0 && now-c.standing > StandingAfter {
+	if c.waiting > 0 && now-c.waitingSince > StandingAfter {
 		return wait > remaining/StandingPart
 	}
 
-	return wait+c.hold(now) > remaining
+	return wait+c.expectedServiceTime(now) > remaining
 }
 
-// RetryAfter is when a call that was turned away should come back: when what
-// waits now has been served, at the measured rate, and longer if others are
-// being turned away too, who will come back as well. It is spread over half as
-// much again, or all of them would return in the same moment.
+// RetryAfter estimates when a rejected call should be retried: after the current backlog has been
+// served at the measured rate, and later if other calls are rejected too, since they are also
+// retried. Up to 50% of random jitter keeps callers from retrying at the same moment.
 func (q *Queue) RetryAfter() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -154,10 +153,10 @@
 		backlog += q.classes[i].waiting
 	}
 
-	drain := float64(q.expected(0, nil, now))
+	drain := float64(q.expectedWait(0, nil, now))
 	if served := q.served.perSecond(now); served > 1 {
 		drain = float64(backlog) / served * float64(time.Second)
-		drain *= 1 + q.refused.perSecond(now)/served
+		drain *= 1 + q.rejected.perSecond(now)/served
 	}
 
 	drain *= 1 + rand.Float64()/2
@@ -165,26 +164,28 @@
 	return min(max(time.Duration(drain), minRetryAfter), maxRetryAfter)
 }
 
-// Bounds of RetryAfter: less than the first and callers come straight back,
-// more than the second and they stay away from a service that is well again.
+// Bounds of RetryAfter: with less than the minimum callers retry immediately, with more than the
+// maximum they avoid a service that has recovered.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
 )
 
-// rate counts events a second, smoothed over memory.
-type rate struct {
+// decayingRate counts events per second, smoothed over smoothingTime.
+type decayingRate struct {
 	value float64
 	at    time.Duration
 }
 
-func (r *rate) add(now time.Duration) {
+func (r *decayingRate) add(now time.Duration) {
 	r.value = r.decayed(now) + 1
 	r.at = now
 }
 
-func (r *rate) decayed(now time.Duration) float64 {
-	return r.value * math.Exp(-float64(now-r.at)/float64(memory))
+func (r *decayingRate) decayed(now time.Duration) float64 {
+	return r.value * math.Exp(-float64(now-r.at)/float64(smoothingTime))
 }
 
-func (r *rate) perSecond(now time.Duration) float64 { return r.decayed(now) / memory.Seconds() }
+func (r *decayingRate) perSecond(now time.Duration) float64 {
+	return r.decayed(now) / smoothingTime.Seconds()
+}
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -9,7 +9,7 @@
 	Order       Order
 }
 
-// Option sets an option.
+// Option sets a field of Options.
 type Option func(*Options)
 
 func newOptions(opts ...Option) Options {
@@ -21,11 +21,11 @@
 	return o
 }
 
-// Slots sets how many calls run at once.
+// Slots sets the maximum number of running calls.
 func Slots(n int) Option { return func(o *Options) { o.Slots = n } }
 
-// ServiceTime sets the first guess of how long a call holds a slot.
+// ServiceTime sets the initial estimate of the service time.
 func ServiceTime(d time.Duration) Option { return func(o *Options) { o.ServiceTime = d } }
 
-// WithOrder sets which of a caller's waiting calls goes next.
+// WithOrder sets the order of a caller's waiting calls.
 func WithOrder(order Order) Option { return func(o *Options) { o.Order = order } }
--- a/internal/admission/order.go
+++ b/internal/admission/order.go
@@ -1,16 +1,15 @@
 package admission
 
-// Order says which of a caller's waiting calls goes next. They are kept in the
-// order of arrival.
+// Order determines which of a caller's waiting calls, kept in order of arrival, goes next.
 type Order int
 
-// The orders that were weighed; docs/design/0201-admission.md has the figures.
+// Supported orders; docs/design/0201-admission.md compares them.
 const (
 	// OldestFirst serves in the order of arrival.
 	OldestFirst Order = iota
-	// NewestFirst gives most calls a short wait and lets the others run out.
+	// NewestFirst gives most calls a short wait and lets the others time out.
 	NewestFirst
-	// DeadlineFirst serves the call with the least time left.
+	// DeadlineFirst serves the call with the earliest deadline.
 	DeadlineFirst
 )
 
