--- a/internal/bounded/bounded.go
+++ b/internal/bounded/bounded.go
@@ -1,30 +1,31 @@
-// Package bounded keeps what is learnt by name, of names that come and go.
+// Package bounded provides a size-limited map for learned values whose names change over time.
 //
-// Routes and services are renamed with versions, and nobody tells which are gone for
-// good. Without a bound a process that runs for months keeps all that ever were. What
-// is dropped here is learnt again within seconds, so all of it is dropped at once.
+// New configuration versions rename routes and services, and nothing reports which names
+// are no longer used. Without a bound, a process that runs for months keeps them all. A full map
+// is cleared at once, since its values are learned again within seconds.
 //
 // # Usage
 //
-//	sizes := bounded.New[size](4096)
-//	sizes.At("search").learn(took)
-//	if s, ok := sizes.Get("search"); ok { ... }
+//	times := bounded.New[estimate](4096)
+//	times.At("search").observe(took)
+//	if e, ok := times.Get("search"); ok { ... }
 package bounded
 
 // Map holds values by name. It is not safe for concurrent use.
 type Map[V any] struct {
-	most  int
+	limit int
 	items map[string]*V
 }
 
-// New returns a map that holds so many names at the most.
-func New[V any](most int) *Map[V] { return &Map[V]{most: most, items: map[string]*V{}} }
+// New returns a map that holds at most limit names.
+func New[V any](limit int) *Map[V] { return &Map[V]{limit: limit, items: map[string]*V{}} }
 
-// At returns the value of a name, a new one if there is none.
+// At returns the value of a name and adds a zero value if there is none. A full map is
+// cleared first.
 func (m *Map[V]) At(name string) *V {
 	v := m.items[name]
 	if v == nil {
-		if len(m.items) >= m.most {
+		if len(m.items) >= m.limit {
 			clear(m.items)
 		}
 
--- a/internal/bounded/bounded_test.go
+++ b/internal/bounded/bounded_test.go
@@ -9,7 +9,7 @@
 	"github.com/pollencart/pollencart/internal/bounded"
 )
 
-func TestValuesStay(t *testing.T) {
+func TestValuesAreKept(t *testing.T) {
 	m := bounded.New[int](2)
 	*m.At("a") = 7
 	m.At("b")
@@ -19,10 +19,10 @@
 	assert.Assert(t, !ok)
 }
 
-// Versions rename routes again and again for months. The process must not grow by it.
-func TestNamesThatComeAndGoAreDropped(t *testing.T) {
+// Configuration versions keep renaming routes for months. Memory use must not grow.
+func TestMapDoesNotGrowBeyondItsLimit(t *testing.T) {
 	m := bounded.New[int](100)
-	held := 0
+	kept := 0
 
 	for i := range 10_000 {
 		m.At(strconv.Itoa(i))
@@ -30,9 +30,9 @@
 
 	for i := range 10_000 {
 		if _, ok := m.Get(strconv.Itoa(i)); ok {
-			held++
+			kept++
 		}
 	}
 
-	assert.Assert(t, held <= 100)
+	assert.Assert(t, kept <= 100)
 }
