--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,14 +1,13 @@
-// Package drain decides which calls of callers a node takes while it is being stopped.
+// Package drain decides which calls from callers a node accepts while it shuts down.
 //
-// Callers learn of a stop late, or not at all if too few other nodes are ready, and go on
-// calling until the process has ended. A call that is taken then must still be answered,
-// so a stop needs a moment from which on it takes none, and says so.
+// Callers learn of a shutdown late, or not at all if too few other nodes are ready, and keep
+// sending calls until the process ends. An accepted call must be answered, so from some
+// point on a draining node has to reject new calls explicitly.
 //
-//  1. Leave: callers are told to go elsewhere, and calls are taken as before.
-//  2. Finish: only calls whose time limit is before the end of the process are taken. The
-//     backend server here may still run calls, which fail without the calls that it makes
-//     itself.
-//  3. Close: none is taken.
+//  1. Leave: callers are directed to other nodes; calls are still accepted.
+//  2. Finish: only calls that time out before the process ends are accepted. The local backend
+//     server may still be running calls, which fail if their nested calls are rejected.
+//  3. Close: no calls are accepted.
 //
 // # Usage
 //
@@ -24,28 +23,29 @@
 	"time"
 )
 
-// Intake is open until it is told otherwise, and never opens again.
+// Intake is the admission state of a node for calls from callers. It starts open, and a drain
+// can't be undone.
 type Intake struct {
-	leaving atomic.Bool
-	end     atomic.Pointer[time.Time] // nil: any call is taken
+	draining atomic.Bool
+	end      atomic.Pointer[time.Time] // nil: all calls are accepted
 }
 
 // New returns an open intake.
 func New() *Intake { return &Intake{} }
 
-// Leave notes that a planned stop began.
-func (i *Intake) Leave() { i.leaving.Store(true) }
+// Leave marks the node as draining.
+func (i *Intake) Leave() { i.draining.Store(true) }
 
-// Leaving reports whether a planned stop began.
-func (i *Intake) Leaving() bool { return i.leaving.Load() }
+// Leaving reports whether the node is draining.
+func (i *Intake) Leaving() bool { return i.draining.Load() }
 
-// Finish takes only calls that are over by the end of the process.
+// Finish limits the intake to calls that time out by the end of the process.
 func (i *Intake) Finish(end time.Time) { i.end.Store(&end) }
 
-// Close takes no calls.
+// Close rejects all calls.
 func (i *Intake) Close() { i.end.Store(&time.Time{}) }
 
-// Takes reports whether a call is taken that may last until its time limit.
+// Takes reports whether a call with this time limit is accepted.
 func (i *Intake) Takes(limit time.Time) bool {
 	end := i.end.Load()
 
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -9,7 +9,7 @@
 	"github.com/pollencart/pollencart/internal/drain"
 )
 
-func TestCallsAreTakenByTheirTimeLimit(t *testing.T) {
+func TestDrainAcceptsCallsByTheirTimeLimit(t *testing.T) {
 	i := drain.New()
 	now := time.Now()
 	end := now.Add(time.Second)
