--- a/internal/reservoir/reservoir.go
+++ b/internal/reservoir/reservoir.go
@@ -1,26 +1,26 @@
-// Package reservoir takes two of many at random, by weight, in one pass and without
-// memory of its own.
+// Package reservoir selects two of many values at random, by weight, in one pass and without
+// allocations.
 //
 //	var d reservoir.Two[string]
 //	d.Add("a", rand.ExpFloat64()/weight)
 //	first, ok := d.First()
 package reservoir
 
-// Two keeps the two values with the lowest keys. With keys that are exponentially
-// distributed, each value is drawn by the inverse of its key's mean.
+// Two keeps the two values with the lowest keys. With exponentially distributed keys, the
+// probability that a value is first is proportional to the inverse of its key's mean.
 type Two[T any] struct {
-	first, second drawn[T]
+	first, second sample[T]
 }
 
-type drawn[T any] struct {
+type sample[T any] struct {
 	value T
 	key   float64
 	ok    bool
 }
 
-// Add takes part in the draw.
+// Add adds a candidate.
 func (t *Two[T]) Add(value T, key float64) {
-	next := drawn[T]{value, key, true}
+	next := sample[T]{value, key, true}
 
 	switch {
 	case !t.first.ok || key < t.first.key:
@@ -36,7 +36,7 @@
 // FirstKey returns the lowest key.
 func (t *Two[T]) FirstKey() float64 { return t.first.key }
 
-// Both returns the values that were drawn, none to two.
+// Both returns the selected values and their count, 0 to 2.
 func (t *Two[T]) Both() (values [2]T, count int) {
 	values = [2]T{t.first.value, t.second.value}
 
--- a/internal/reservoir/reservoir_test.go
+++ b/internal/reservoir/reservoir_test.go
@@ -9,7 +9,7 @@
 	"github.com/pollencart/pollencart/internal/reservoir"
 )
 
-func TestTheTwoLowest(t *testing.T) {
+func TestTwoKeepsTheTwoLowestKeys(t *testing.T) {
 	var d reservoir.Two[string]
 
 	_, ok := d.First()
@@ -28,8 +28,8 @@
 	assert.Equal(t, both, [2]string{"b", "c"})
 }
 
-// A value with three times the weight comes first three times as often.
-func TestWeights(t *testing.T) {
+// A value with three times the weight is selected first three times as often.
+func TestSelectionFollowsWeights(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	heavy := 0
 
