--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -71,8 +71,8 @@
 	StandingPart = 4
 )
 
-// Ticket describes a call that requests a slot.
-type Ticket struct {
+// Request describes a call that requests a slot.
+type Request struct {
 	Class  settings.Class
 	Caller string
 	Queue  int
@@ -139,7 +139,7 @@
 }
 
 // Admit waits for a slot. If it returns an error, one of this package, the call has not run.
-func (q *Queue) Admit(ctx context.Context, t Ticket) (release func(), err error) {
+func (q *Queue) Admit(ctx context.Context, t Request) (release func(), err error) {
 	w, err := q.enter(ctx, t)
 	if err != nil {
 		return nil, err
@@ -176,7 +176,7 @@
 func (q *Queue) now() time.Duration { return time.Since(q.created) }
 
 // enter starts, enqueues or rejects the call.
-func (q *Queue) enter(ctx context.Context, t Ticket) (*waiter, error) {
+func (q *Queue) enter(ctx context.Context, t Request) (*waiter, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -92,7 +92,7 @@
 
 	start := time.Now()
 
-	release, err := q.Admit(ctx, admission.Ticket{Class: s.class, Caller: s.caller, Queue: s.queue})
+	release, err := q.Admit(ctx, admission.Request{Class: s.class, Caller: s.caller, Queue: s.queue})
 	if err == nil {
 		time.Sleep(s.serviceTime)
 		release()
@@ -295,7 +295,7 @@
 		q := admission.New(admission.Slots(slots), admission.ServiceTime(2*time.Millisecond))
 
 		for range slots {
-			_, err := q.Admit(t.Context(), admission.Ticket{Class: settings.ClassInteractive, Queue: 64})
+			_, err := q.Admit(t.Context(), admission.Request{Class: settings.ClassInteractive, Queue: 64})
 			assert.NilError(t, err)
 		}
 
@@ -305,7 +305,7 @@
 		defer cancel()
 
 		start := time.Now()
-		_, err := q.Admit(ctx, admission.Ticket{Class: settings.ClassInteractive, Queue: 64})
+		_, err := q.Admit(ctx, admission.Request{Class: settings.ClassInteractive, Queue: 64})
 		assert.ErrorIs(t, err, admission.ErrWait)
 		assert.Equal(t, time.Since(start), time.Duration(0))
 		assert.Assert(t, q.RetryAfter() >= 100*time.Millisecond)
@@ -316,14 +316,14 @@
 func TestCanceledCallIsRemovedFromTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.New(admission.Slots(1))
-		release, err := q.Admit(t.Context(), admission.Ticket{Queue: 4})
+		release, err := q.Admit(t.Context(), admission.Request{Queue: 4})
 		assert.NilError(t, err)
 
 		ctx, hangUp := context.WithCancel(t.Context())
 		gone := make(chan error)
 
 		go func() {
-			_, err := q.Admit(ctx, admission.Ticket{Queue: 4})
+			_, err := q.Admit(ctx, admission.Request{Queue: 4})
 			gone <- err
 		}()
 
@@ -343,14 +343,14 @@
 func TestClosedQueueRejectsWaitingCallsAndFinishesRunningOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admission.New(admission.Slots(1))
-		release, err := q.Admit(t.Context(), admission.Ticket{Queue: 4})
+		release, err := q.Admit(t.Context(), admission.Request{Queue: 4})
 		assert.NilError(t, err)
 
 		waited := make(chan error, len(settings.Classes()))
 
 		for _, class := range settings.Classes() {
 			go func() {
-				_, err := q.Admit(t.Context(), admission.Ticket{Class: class, Queue: 4})
+				_, err := q.Admit(t.Context(), admission.Request{Class: class, Queue: 4})
 				waited <- err
 			}()
 		}
@@ -363,7 +363,7 @@
 			assert.ErrorIs(t, <-waited, admission.ErrClosed)
 		}
 
-		_, err = q.Admit(t.Context(), admission.Ticket{Queue: 4})
+		_, err = q.Admit(t.Context(), admission.Request{Queue: 4})
 		assert.ErrorIs(t, err, admission.ErrClosed)
 
 		assert.Equal(t, q.Load().Queued, 0)
@@ -374,7 +374,7 @@
 
 		q.Open()
 
-		release, err = q.Admit(t.Context(), admission.Ticket{Queue: 4})
+		release, err = q.Admit(t.Context(), admission.Request{Queue: 4})
 		assert.NilError(t, err)
 		release()
 	})
@@ -401,7 +401,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), limit)
 				defer cancel()
 
-				release, err := q.Admit(ctx, admission.Ticket{Class: class, Caller: fmt.Sprint(held % 7), Queue: 64})
+				release, err := q.Admit(ctx, admission.Request{Class: class, Caller: fmt.Sprint(held % 7), Queue: 64})
 				if err != nil {
 					return
 				}
@@ -433,7 +433,7 @@
 	defer cancel()
 
 	n := testing.AllocsPerRun(1000, func() {
-		release, err := q.Admit(ctx, admission.Ticket{Class: settings.ClassInteractive, Caller: "desk", Queue: 64})
+		release, err := q.Admit(ctx, admission.Request{Class: settings.ClassInteractive, Caller: "desk", Queue: 64})
 		if err != nil {
 			t.Error(err)
 		}
@@ -447,7 +447,7 @@
 	q := admission.New(admission.Slots(slots))
 
 	for b.Loop() {
-		release, err := q.Admit(b.Context(), admission.Ticket{Class: settings.ClassInteractive, Caller: "desk", Queue: 64})
+		release, err := q.Admit(b.Context(), admission.Request{Class: settings.ClassInteractive, Caller: "desk", Queue: 64})
 		if err != nil && !errors.Is(err, admission.ErrFull) {
 			b.Fatal(err)
 		}
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -119,7 +119,7 @@
 		start := time.Now()
 		leaving := g.queue.Load().Leaving
 
-		release, err := g.queue.Admit(ctx, admission.Ticket{Class: c.Class, Caller: c.Caller, Queue: c.Queue})
+		release, err := g.queue.Admit(ctx, admission.Request{Class: c.Class, Caller: c.Caller, Queue: c.Queue})
 		if err != nil {
 			return call.Answer{}, call.Refuse(err, call.RanNo, g.queue.RetryAfter())
 		}
--- a/internal/selection/model_test.go
+++ b/internal/selection/model_test.go
@@ -54,7 +54,7 @@
 
 	start := time.Now()
 
-	release, err := s.queue.Admit(ctx, admission.Ticket{Class: class, Caller: "desk", Queue: 256})
+	release, err := s.queue.Admit(ctx, admission.Request{Class: class, Caller: "desk", Queue: 256})
 	if err != nil {
 		return selection.Outcome{Result: selection.Refused, Load: s.report(s.queue.Load())}
 	}
