--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -39,8 +39,8 @@
 // Leaving reports whether the node is draining.
 func (i *Intake) Leaving() bool { return i.draining.Load() }
 
-// Finish limits the intake to calls that time out by the end of the process.
-func (i *Intake) Finish(end time.Time) { i.end.Store(&end) }
+// LimitTo limits the intake to calls that time out by the end of the process.
+func (i *Intake) LimitTo(end time.Time) { i.end.Store(&end) }
 
 // Close rejects all calls.
 func (i *Intake) Close() { i.end.Store(&time.Time{}) }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -21,7 +21,7 @@
 	assert.Assert(t, i.Leaving())
 	assert.Assert(t, i.Takes(now.Add(time.Hour)))
 
-	i.Finish(end)
+	i.LimitTo(end)
 	assert.Assert(t, i.Takes(end))
 	assert.Assert(t, !i.Takes(end.Add(time.Nanosecond)))
 
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -117,7 +117,7 @@
 
 // retire goes on listening: who connects is told that this node leaves.
 func (n *Node) retire(end time.Time) {
-	n.intake.Finish(end)
+	n.intake.LimitTo(end)
 	n.callers.SetKeepAlivesEnabled(false)
 }
 
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -112,7 +112,7 @@
 		callers:  n.ingress.Busy,
 		running:  func() int { return int(n.runner.Busy()) },
 		inFlight: func() int { return int(n.runner.Busy() + n.server.Running()) },
-		retire:   n.ingress.Retire, withdraw: n.withdraw, limitIntake: n.intake.Finish, closeGate: n.runner.Close, closeIntake: n.closeIntake,
+		retire:   n.ingress.Retire, withdraw: n.withdraw, limitIntake: n.intake.LimitTo, closeGate: n.runner.Close, closeIntake: n.closeIntake,
 		report: func(step string) {
 			n.recorder.Record(event.NodeDrainStep, timeline.Entry{Detail: step + ": " + n.unfinished()})
 		},
