--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -28,7 +28,7 @@
 // # Usage
 //
 //	q := admission.New(admission.Slots(10))
-//	release, err := q.Admit(ctx, admission.Ticket{Class: settings.ClassInteractive})
+//	release, err := q.Admit(ctx, admission.Request{Class: settings.ClassInteractive})
 //	defer release()
 package admission
 
@@ -139,8 +139,8 @@
 }
 
 // Admit waits for a slot. If it returns an error, one of this package, the call has not run.
-func (q *Queue) Admit(ctx context.Context, t Request) (release func(), err error) {
-	w, err := q.enter(ctx, t)
+func (q *Queue) Admit(ctx context.Context, r Request) (release func(), err error) {
+	w, err := q.enter(ctx, r)
 	if err != nil {
 		return nil, err
 	}
@@ -176,7 +176,7 @@
 func (q *Queue) now() time.Duration { return time.Since(q.created) }
 
 // enter starts, enqueues or rejects the call.
-func (q *Queue) enter(ctx context.Context, t Request) (*waiter, error) {
+func (q *Queue) enter(ctx context.Context, r Request) (*waiter, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -185,9 +185,9 @@
 	}
 
 	now := q.now()
-	w := &waiter{class: t.Class.Rank(), arrived: now}
+	w := &waiter{class: r.Class.Rank(), arrived: now}
 	c := &q.classes[w.class]
-	w.callerQueue = c.callerQueue(t.Caller)
+	w.callerQueue = c.callerQueue(r.Caller)
 	q.observe(now)
 
 	if c.waiting == 0 && q.hasFreeSlot(w.class) {
@@ -203,7 +203,7 @@
 		}
 	}
 
-	if err := q.makeRoom(c, w.callerQueue, t.Queue, now); err != nil {
+	if err := q.makeRoom(c, w.callerQueue, r.Queue, now); err != nil {
 		return nil, err
 	}
 
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -319,18 +319,18 @@
 		release, err := q.Admit(t.Context(), admission.Request{Queue: 4})
 		assert.NilError(t, err)
 
-		ctx, hangUp := context.WithCancel(t.Context())
-		gone := make(chan error)
+		ctx, cancel := context.WithCancel(t.Context())
+		result := make(chan error)
 
 		go func() {
 			_, err := q.Admit(ctx, admission.Request{Queue: 4})
-			gone <- err
+			result <- err
 		}()
 
 		synctest.Wait()
 		assert.Equal(t, q.Load().Queued, 1)
-		hangUp()
-		assert.ErrorIs(t, <-gone, admission.ErrCanceled)
+		cancel()
+		assert.ErrorIs(t, <-result, admission.ErrCanceled)
 		assert.Equal(t, q.Load().Queued, 0)
 		release()
 		assert.Equal(t, q.Load().InFlight, 0)
@@ -394,14 +394,14 @@
 
 		for range 2000 {
 			class := settings.Classes()[random.IntN(3)]
-			held, limit := time.Duration(random.IntN(40))*time.Millisecond, time.Duration(random.IntN(300))*time.Millisecond
+			runTime, limit := time.Duration(random.IntN(40))*time.Millisecond, time.Duration(random.IntN(300))*time.Millisecond
 			time.Sleep(time.Duration(random.IntN(3)) * time.Millisecond)
 
 			wg.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), limit)
 				defer cancel()
 
-				release, err := q.Admit(ctx, admission.Request{Class: class, Caller: fmt.Sprint(held % 7), Queue: 64})
+				release, err := q.Admit(ctx, admission.Request{Class: class, Caller: fmt.Sprint(runTime % 7), Queue: 64})
 				if err != nil {
 					return
 				}
@@ -410,7 +410,7 @@
 				running++
 				most = max(most, running)
 				mu.Unlock()
-				time.Sleep(held)
+				time.Sleep(runTime)
 				mu.Lock()
 				running--
 				mu.Unlock()
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -5,7 +5,7 @@
 // point on a draining node has to reject new calls explicitly.
 //
 //  1. Leave: callers are directed to other nodes; calls are still accepted.
-//  2. Finish: only calls that time out before the process ends are accepted. The local backend
+//  2. LimitTo: only calls that time out before the process ends are accepted. The local backend
 //     server may still be running calls, which fail if their nested calls are rejected.
 //  3. Close: no calls are accepted.
 //
@@ -13,8 +13,8 @@
 //
 //	i := drain.New()
 //	i.Leave()
-//	i.Finish(end)
-//	i.Takes(limit) // reports whether limit is before end
+//	i.LimitTo(end)
+//	i.Takes(limit) // reports whether limit is no later than end
 //	i.Close()
 package drain
 
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -329,7 +329,7 @@
 // must be rejected while it can still be on time on another node.
 func TestWaitingCallIsRejectedWhileAnotherNodeCanBeOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const held = 100 * ms
+		const serviceTime = 100 * ms
 
 		q := slots.New()
 		q.Resize(1)
@@ -338,8 +338,8 @@
 			now := time.Now()
 			s, err := q.Enter(context.Background(), slots.Work{Route: "lookup", Target: now.Add(time.Minute), Deadline: now.Add(time.Minute)})
 			assert.Check(t, err)
-			time.Sleep(held)
-			s.Leave(held)
+			time.Sleep(serviceTime)
+			s.Leave(serviceTime)
 		}
 
 		for range 20 {
@@ -362,7 +362,7 @@
 			Route: "lookup", Rank: 1, Target: began.Add(600 * ms), Deadline: began.Add(1500 * ms), Elsewhere: true,
 		})
 		assert.ErrorIs(t, err, slots.ErrElsewhere)
-		assert.Assert(t, time.Since(began) <= 600*ms-held, "%s", time.Since(began))
+		assert.Assert(t, time.Since(began) <= 600*ms-serviceTime, "%s", time.Since(began))
 	})
 }
 
