--- a/internal/draining/draining_test.go
+++ b/internal/draining/draining_test.go
@@ -9,7 +9,7 @@
 	"github.com/pollencart/pollencart/internal/draining"
 )
 
-func TestCallsAreTakenByTheirTimeLimit(t *testing.T) {
+func TestDrainAcceptsCallsByTheirTimeLimit(t *testing.T) {
 	i := draining.New()
 	now := time.Now()
 	end := now.Add(time.Second)
@@ -21,7 +21,7 @@
 	assert.Assert(t, i.Leaving())
 	assert.Assert(t, i.Takes(now.Add(time.Hour)))
 
-	i.Finish(end)
+	i.LimitTo(end)
 	assert.Assert(t, i.Takes(end))
 	assert.Assert(t, !i.Takes(end.Add(time.Nanosecond)))
 
