--- a/internal/poison/ask.go
+++ b/internal/poison/ask.go
@@ -16,64 +16,66 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// askAgain is how long calls do not wait for another round after one that got no answer:
-// a gate that is alone serves on with what it knows, and Run goes on asking.
-const askAgain = time.Second
-
-// meetTime is how long after its start a gate that knows no other node at all lets no call
-// run, and meetAgain how often it looks. Nodes that start meet each other in a tenth of a
-// second, some tenths more with all seeds down; a poison request that has ended two backend
-// servers would end a third at a gate that has nobody to ask. A node that is alone serves on
-// after that.
+// pullRetryInterval is how long after a failed pull calls start no other one. A gate that
+// is alone keeps serving with what it knows, and Run keeps pulling.
+const pullRetryInterval = time.Second
+
+// discoveryTimeout is how long after its start a gate that knows no other node holds
+// calls back, discoveryPollInterval how often it checks. Without the wait, a poison
+// request that has already crashed two backend servers crashes a third one here. Nodes
+// usually find each other within 0.1 s of starting, or some tenths of a second later if
+// all seeds are down.
 const (
-	meetTime  = time.Second
-	meetAgain = 20 * time.Millisecond
+	discoveryTimeout      = time.Second
+	discoveryPollInterval = 20 * time.Millisecond
 )
 
-// asking is what a gate does to learn what it may have missed.
-type asking struct {
-	changed atomic.Uint64 // counts the times since which something may have been missed
-	fresh   atomic.Uint64 // the count at the last round that got answers
-	stood   atomic.Int64  // the standstill that was counted last
-	failed  atomic.Bool   // the last round got no answer
-
-	mu    sync.Mutex
-	round chan struct{} // closed at the end of the round under way
-	last  time.Time     // when the last round that got no answer began
+// pulls tracks whether reports of other gates may be missing here, and the pull that
+// fetches them.
+type pulls struct {
+	staleMarks  atomic.Uint64 // incremented whenever reports may have been missed
+	pulledMarks atomic.Uint64 // value of staleMarks that the last successful pull covers
+	lastStall   atomic.Int64  // last process stall that was handled
+	failed      atomic.Bool   // the last pull got no answer
+
+	mu          sync.Mutex
+	round       chan struct{} // closed at the end of the current pull, nil if there is none
+	lastFailure time.Time     // start time of the last pull if it failed, else zero
 }
 
-// Freshen asks the other gates if something may have been missed here, and waits for
-// what they know. A gate that starts afresh, or wakes, would let a refused request
-// through; so would calls beside the first one that did not wait. It comes before a call
-// takes a slot: held in one, calls of a node that had just started took its backend server
-// for a second slower than it was, and were turned away for it.
+// Freshen pulls reports from the other gates if some may have been missed here, and waits
+// until they are merged; concurrent calls wait for the same pull. Without it, a gate that
+// has just started or stalled runs requests that are refused elsewhere.
+//
+// Callers invoke it before they take a slot: waiting inside a slot made a newly started
+// node's backend server look slower for a second, and calls to it were rejected.
 func (w *Watch) Freshen(ctx context.Context, service string) {
-	a := &w.asking
+	p := &w.pulls
 
-	if woke := int64(w.standstills.Woke()); a.stood.Load() != woke && a.stood.Swap(woke) != woke {
+	if woke := int64(w.stalls.Woke()); p.lastStall.Load() != woke && p.lastStall.Swap(woke) != woke {
 		w.Stale()
 	}
 
-	if a.changed.Load() == a.fresh.Load() {
+	if p.staleMarks.Load() == p.pulledMarks.Load() {
 		return
 	}
 
-	a.mu.Lock()
-	round := a.round
+	p.mu.Lock()
+	round := p.round
 
 	if round == nil {
-		if time.Since(a.last) < askAgain {
-			a.mu.Unlock()
+		if time.Since(p.lastFailure) < pullRetryInterval {
+			p.mu.Unlock()
 
 			return
 		}
 
 		round = make(chan struct{})
-		a.round = round
+		p.round = round
 
-		go w.askRound(context.WithoutCancel(ctx), service, round)
+		go w.pullRound(context.WithoutCancel(ctx), service, round)
 	}
-	a.mu.Unlock()
+	p.mu.Unlock()
 
 	select {
 	case <-round:
@@ -81,99 +83,101 @@
 	}
 }
 
-func (w *Watch) askRound(ctx context.Context, service string, done chan struct{}) {
-	w.meet()
+func (w *Watch) pullRound(ctx context.Context, service string, done chan struct{}) {
+	w.waitForPeers()
 
 	began := time.Now()
-	ok := w.ask(ctx, service)
+	ok := w.pull(ctx, service)
 
-	w.asking.mu.Lock()
-	w.asking.round = nil
-	w.asking.last = time.Time{}
+	w.pulls.mu.Lock()
+	w.pulls.round = nil
+	w.pulls.lastFailure = time.Time{}
 
 	if !ok {
-		w.asking.last = began
+		w.pulls.lastFailure = began
 	}
-	w.asking.mu.Unlock()
+	w.pulls.mu.Unlock()
 
 	close(done)
 
 	if !ok {
-		w.nudge(service)
+		w.wakeRun(service)
 	}
 }
 
-// meet waits until this node knows another one, or has run for a while.
-func (w *Watch) meet() {
-	for w.members.CountLive() < 2 && time.Since(w.began) < meetTime {
-		time.Sleep(meetAgain)
+// waitForPeers waits until this node knows another one, or discoveryTimeout has passed
+// since its start.
+func (w *Watch) waitForPeers() {
+	for w.members.CountLive() < 2 && time.Since(w.began) < discoveryTimeout {
+		time.Sleep(discoveryPollInterval)
 	}
 }
 
-// askedOldest and askedAnyhow are how many gates are asked: those that have run for
-// longest, which were told of all that happened, and some others, since hosts' clocks may
-// tell wrongly who that is. All of a service would be as many messages at a start of the
-// fleet as the square of it, and each call would wait for the slowest.
+// pullOldest and pullRandom are how many gates a pull contacts: those with the oldest
+// incarnations, which have most likely received every report, and some random others,
+// since the clocks of hosts may order incarnations wrongly. Contacting all gates of a
+// service would cost a quadratic number of messages at a fleet start, and each call would
+// wait for the slowest gate.
 const (
-	askedOldest = 8
-	askedAnyhow = 4
+	pullOldest = 8
+	pullRandom = 4
 )
 
-// askable returns the gates to be asked.
-func (w *Watch) askable(service string) []membership.Record {
-	gates := w.others(service, live)
+// pullTargets returns the gates that a pull contacts.
+func (w *Watch) pullTargets(service string) []membership.Record {
+	gates := w.otherGates(service, live)
 	slices.SortStableFunc(gates, func(a, b membership.Record) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
 
-	if len(gates) <= askedOldest {
+	if len(gates) <= pullOldest {
 		return gates
 	}
 
-	rest := gates[askedOldest:]
+	rest := gates[pullOldest:]
 	rand.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 
-	return gates[:min(len(gates), askedOldest+askedAnyhow)]
+	return gates[:min(len(gates), pullOldest+pullRandom)]
 }
 
-// ask asks gates that are thought to run for all that they know. It waits for all of
-// these, up to tellTime: those that answer first may have started anew as well and know
-// nothing. It reports whether one answered: a
-// gate that knows nobody yet has just started itself.
-func (w *Watch) ask(ctx context.Context, service string) bool {
-	changed := w.asking.changed.Load()
-	gates := w.askable(service)
+// pull fetches all reports of some gates that are considered alive, and reports whether
+// one answered. It waits for all answers, up to notifyTimeout, since the gates that
+// answer first may have just started and know nothing. Without any other gate to contact
+// it reports false: this node may itself have just started.
+func (w *Watch) pull(ctx context.Context, service string) bool {
+	staleMarks := w.pulls.staleMarks.Load()
+	gates := w.pullTargets(service)
 
-	ctx, cancel := context.WithTimeout(ctx, tellTime)
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 
 	var (
-		g    sync.WaitGroup
-		good atomic.Int64
+		g        sync.WaitGroup
+		answered atomic.Int64
 	)
 
 	for _, m := range gates {
 		g.Go(func() {
 			var reports []Report
 
-			err := w.peers.Do(ctx, m.PeerAddress, peer.LaneControl, MethodPull, Done{}, &reports)
-			if err == nil { // else counted in the line below, and asked again if nobody answers
+			err := w.peers.Do(ctx, m.PeerAddress, peer.LaneControl, MethodPull, Empty{}, &reports)
+			if err == nil { // a failure shows in the event below; Run retries if no gate answers
 				w.table.Merge(reports)
-				good.Add(1)
+				answered.Add(1)
 			}
 		})
 	}
 
 	g.Wait()
 
-	ok := good.Load() > 0
-	failed := w.asking.failed.Swap(!ok)
+	ok := answered.Load() > 0
+	failed := w.pulls.failed.Swap(!ok)
 
 	if ok {
-		w.asking.fresh.Store(changed)
+		w.pulls.pulledMarks.Store(staleMarks)
 	}
 
-	if len(gates) > 0 && (ok || !failed) { // not again for each round without an answer
+	if len(gates) > 0 && (ok || !failed) { // only once per series of failed pulls
 		w.recorder.Record(event.PoisonAsked, timeline.Entry{
-			Detail: fmt.Sprintf("%d of %d gates answered, %d suspects", good.Load(), len(gates), w.table.Size()),
+			Detail: fmt.Sprintf("%d of %d gates answered, %d suspects", answered.Load(), len(gates), w.table.Size()),
 		})
 	}
 
--- a/internal/poison/ask_test.go
+++ b/internal/poison/ask_test.go
@@ -12,61 +12,60 @@
 	"github.com/pollencart/pollencart/internal/poison"
 )
 
-// A gate starts anew and asks the others what they know before it lets a call through.
-// That takes a moment; calls beside the first one did not wait for it and were let
-// through unjudged.
-func TestNoCallGoesBeforeTheOthersHaveAnswered(t *testing.T) {
+// A restarted gate pulls reports before it runs a call. Concurrent calls must wait for
+// the same pull; otherwise they run unchecked.
+func TestConcurrentCallsWaitForThePull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := crashedTwice(t)
 
 		m.gates["c"].start()
-		m.slow(50 * time.Millisecond)
+		m.setLatency(50 * time.Millisecond)
 
 		var wg sync.WaitGroup
 
 		wg.Go(func() { m.finish("c", "/folders/first") })
 		time.Sleep(time.Millisecond)
 
-		assert.ErrorIs(t, m.press("c"), poison.ErrRefused)
+		assert.ErrorIs(t, m.sendPoison("c"), poison.ErrRefused)
 		wg.Wait()
 	})
 }
 
-// The gate that starts anew can reach nobody in the first moment. It asked once, then
-// not again until its backend server changed its state the next time.
-func TestAGateThatGotNoAnswerAsksAgain(t *testing.T) {
+// A restarted gate whose first pull gets no answer must pull again, not only when its
+// backend server changes state.
+func TestGatePullsAgainAfterNoAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := crashedTwice(t)
 
-		m.cutOff("c", true)
+		m.isolate("c", true)
 		m.gates["c"].start()
 		m.finish("c", "/folders/first")
-		m.cutOff("c", false)
+		m.isolate("c", false)
 		time.Sleep(600 * time.Millisecond)
 
-		assert.ErrorIs(t, m.press("c"), poison.ErrRefused)
+		assert.ErrorIs(t, m.sendPoison("c"), poison.ErrRefused)
 	})
 }
 
-// A gate starts anew while the nodes that it should meet first are down as well. For some
-// tenths of a second it knows nobody, and the call that it had was the poison request: a
-// 520 without a 524 before it, 0.24 s after 100. It waits until it has met somebody.
-func TestAGateThatKnowsNobodyYetWaits(t *testing.T) {
+// A gate restarts while its seeds are down and knows no other node for some tenths of a
+// second. Its first call is the poison request, which must wait until the gate knows
+// other nodes.
+func TestGateWithoutPeersWaitsForDiscovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := crashedTwice(t)
 
 		c := m.gates["c"]
-		c.holdsForDead("a")
-		c.holdsForDead("b")
+		c.considersFailed("a")
+		c.considersFailed("b")
 		c.start()
-		time.AfterFunc(400*time.Millisecond, func() { c.meets("a", "b") })
+		time.AfterFunc(400*time.Millisecond, func() { c.considersAlive("a", "b") })
 
-		assert.ErrorIs(t, m.press("c"), poison.ErrRefused)
+		assert.ErrorIs(t, m.sendPoison("c"), poison.ErrRefused)
 	})
 }
 
-// A node that is alone serves on.
-func TestAGateThatStaysAloneServes(t *testing.T) {
+// A gate that stays alone runs calls after discoveryTimeout.
+func TestLoneGateRunsCallsAfterDiscoveryTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a")
 		start := time.Now()
@@ -78,13 +77,13 @@
 	})
 }
 
-// The gates that are asked first started anew as well and know nothing; the one that
-// knows stands behind them in the list.
-func TestAGateAsksMoreThanTheFirstOfTheList(t *testing.T) {
+// The first gates of the list have restarted as well and know nothing. The pull must also
+// reach the gates behind them.
+func TestPullReachesGatesBehindRestartedOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a", "b", "c", "d", "e", "f")
-		_ = m.press("e")
-		_ = m.press("f")
+		_ = m.sendPoison("e")
+		_ = m.sendPoison("f")
 		assert.Equal(t, m.crashes(), 2)
 
 		for _, id := range []string{"a", "b", "c"} {
@@ -92,19 +91,19 @@
 		}
 
 		m.gates["d"].start()
-		assert.ErrorIs(t, m.press("d"), poison.ErrRefused)
+		assert.ErrorIs(t, m.sendPoison("d"), poison.ErrRefused)
 	})
 }
 
-// Half of the gates of a large service start anew at the same moment. If each asked all
-// others, messages would grow with the square of the fleet, and every call would wait for
-// the slowest of them. A few are asked, those that have run for long among them, and a
-// poison request is refused all the same.
-func TestAGateOfALargeServiceAsksAFew(t *testing.T) {
+// Many gates of a large service restart at the same time. If each pulled from all others,
+// the messages would grow with the square of the fleet and each call would wait for the
+// slowest gate. Each pulls from a few, among them long-running ones, and still refuses
+// the poison request.
+func TestGateOfLargeServicePullsFromFewGates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			size      = 60
-			most      = 16 // asked by one gate
+			most      = 16 // gates that one gate may contact
 			restarted = 40
 		)
 
@@ -114,8 +113,8 @@
 		}
 
 		m := newMesh(t, ids...)
-		_ = m.press(ids[0])
-		_ = m.press(ids[1])
+		_ = m.sendPoison(ids[0])
+		_ = m.sendPoison(ids[1])
 		assert.Equal(t, m.crashes(), 2)
 
 		for _, id := range ids[size-restarted:] {
@@ -125,29 +124,29 @@
 		before := m.sentOf(poison.MethodPull)
 
 		for _, id := range ids[size-restarted:] {
-			assert.ErrorIs(t, m.press(id), poison.ErrRefused)
+			assert.ErrorIs(t, m.sendPoison(id), poison.ErrRefused)
 		}
 
-		asked := m.sentOf(poison.MethodPull) - before
-		assert.Assert(t, asked <= restarted*most, "%d messages of %d gates", asked, restarted)
+		pulls := m.sentOf(poison.MethodPull) - before
+		assert.Assert(t, pulls <= restarted*most, "%d messages of %d gates", pulls, restarted)
 	})
 }
 
-// A process that was frozen wakes. Calls wait in its sockets beside the warnings, and the
-// first of them is the poison request.
-func TestAGateThatStoodStillAsksFirst(t *testing.T) {
+// After a process stall calls wait in sockets together with reports, and the first call
+// is the poison request.
+func TestGatePullsAfterStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a", "b", "c")
-		m.cutOff("c", true) // as if frozen
-		m.gates["a"].holdsForDead("c")
-		m.gates["b"].holdsForDead("c")
+		m.isolate("c", true) // a stalled process answers no messages
+		m.gates["a"].considersFailed("c")
+		m.gates["b"].considersFailed("c")
 
-		_ = m.press("a")
-		_ = m.press("b")
+		_ = m.sendPoison("a")
+		_ = m.sendPoison("b")
 		assert.Equal(t, m.crashes(), 2)
 
-		m.cutOff("c", false)
-		m.gates["c"].stood.n.Add(1)
-		assert.ErrorIs(t, m.press("c"), poison.ErrRefused)
+		m.isolate("c", false)
+		m.gates["c"].stalls.n.Add(1)
+		assert.ErrorIs(t, m.sendPoison("c"), poison.ErrRefused)
 	})
 }
--- a/internal/poison/entry.go
+++ b/internal/poison/entry.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// known is a crash that the request was in flight in. A crash that the request was
-// cleared of stays known as that: a gate that missed the word would otherwise tell of it
-// again, and a popular request would be refused for what another one did.
-type known struct {
-	crash   Crash
-	cleared bool
+// crashRecord is a crash during which the request was in flight. A record stays after the
+// request is exonerated: a gate that missed the exoneration would otherwise report the
+// crash again, and a popular request would be refused for a crash that another request
+// caused.
+type crashRecord struct {
+	crash      Crash
+	exonerated bool
 }
 
 type entry struct {
 	suspect Suspect
-	crashes []known
+	crashes []crashRecord
 	until   time.Time
 	// began is when the call that crashed here began, zero if it crashed elsewhere.
 	began time.Time
-	// revision counts what this gate saw by itself and tells the others; 0 if it only
-	// heard of the request.
+	// revision is the table revision at the last change that this gate reports to the
+	// others; 0 if the request is known only from reports of other gates.
 	revision uint64
 }
 
-// counted returns the crashes that the request was not cleared of.
+// counted returns the crashes that the request is not exonerated of.
 func (e *entry) counted() []Crash {
 	var out []Crash
 
 	for _, k := range e.crashes {
-		if !k.cleared {
+		if !k.exonerated {
 			out = append(out, k.crash)
 		}
 	}
@@ -37,35 +38,35 @@
 	return out
 }
 
-// maxKnown bounds the crashes that are kept of one request. One that is refused has
-// two that count; the others are a popular request's, cleared of each.
-const maxKnown = 8
+// maxCrashRecords bounds the crash records of one request. A refused request has two that
+// count; a popular one may have more, all exonerated.
+const maxCrashRecords = 8
 
-// add notes a crash and reports whether it was news.
-func (e *entry) add(n known) bool {
-	i := slices.IndexFunc(e.crashes, func(k known) bool { return k.crash == n.crash })
+// merge adds a crash record and reports whether it changed the entry.
+func (e *entry) merge(r crashRecord) bool {
+	i := slices.IndexFunc(e.crashes, func(k crashRecord) bool { return k.crash == r.crash })
 	if i >= 0 {
-		news := n.cleared && !e.crashes[i].cleared
-		e.crashes[i].cleared = e.crashes[i].cleared || n.cleared
+		changed := r.exonerated && !e.crashes[i].exonerated
+		e.crashes[i].exonerated = e.crashes[i].exonerated || r.exonerated
 
-		return news
+		return changed
 	}
 
-	if len(e.crashes) >= maxKnown {
-		i = slices.IndexFunc(e.crashes, func(k known) bool { return k.cleared })
+	if len(e.crashes) >= maxCrashRecords {
+		i = slices.IndexFunc(e.crashes, func(k crashRecord) bool { return k.exonerated })
 		if i < 0 {
-			return false // refused many times over
+			return false // already refused
 		}
 
 		e.crashes = slices.Delete(e.crashes, i, i+1)
 	}
 
-	e.crashes = append(e.crashes, n)
+	e.crashes = append(e.crashes, r)
 
 	return true
 }
 
-func before(a, b *entry) bool {
+func evictsBefore(a, b *entry) bool {
 	if x, y := min(len(a.counted()), Limit), min(len(b.counted()), Limit); x != y {
 		return x < y
 	}
--- a/internal/poison/mesh_test.go
+++ b/internal/poison/mesh_test.go
@@ -22,36 +22,36 @@
 
 const service = "browse"
 
-// dialTime is after how long a connection over a cut link is given up.
-const dialTime = 300 * time.Millisecond
+// dialTimeout is when a dial over a cut link fails.
+const dialTimeout = 300 * time.Millisecond
 
-// errCut is what a link that is cut ends with.
+// errCut is the error of a message over a cut link.
 var errCut = peer.ErrUnreachable.With("link is cut")
 
-// mesh is some gates of one service without processes: messages between them are
-// calls of functions, and links can be cut.
+// mesh connects gates of one service in one process. Messages between them are function
+// calls, and links can be cut.
 type mesh struct {
 	t     *testing.T
 	gates map[string]*gate
 
-	mu   sync.Mutex
-	cuts map[[2]string]bool
-	lag  time.Duration  // of each message
-	sent map[string]int // by method
+	mu      sync.Mutex
+	cuts    map[[2]string]bool
+	latency time.Duration  // one-way latency of each message
+	sent    map[string]int // number of messages by method
 }
 
 // gate is one gate with its backend server.
 type gate struct {
 	mesh    *mesh
 	id      string
-	lives   int
+	boots   int
 	watch   *poison.Watch
 	stop    context.CancelFunc
-	stood   standstills
+	stalls  stallCounter
 	crashes int
 
-	mu   sync.Mutex
-	held map[string]membership.State // what its node holds of others
+	mu     sync.Mutex
+	states map[string]membership.State // state of other nodes in this node's membership view
 }
 
 func newMesh(t *testing.T, ids ...string) *mesh {
@@ -59,15 +59,15 @@
 
 	m := &mesh{t: t, gates: map[string]*gate{}, cuts: map[[2]string]bool{}, sent: map[string]int{}}
 	for _, id := range ids {
-		m.gates[id] = &gate{mesh: m, id: id, held: map[string]membership.State{}}
+		m.gates[id] = &gate{mesh: m, id: id, states: map[string]membership.State{}}
 	}
 
 	for _, id := range ids {
 		m.gates[id].start()
 	}
 
-	// A gate that just started asks about the time before, and one that is alone waits for
-	// somebody to ask.
+	// A gate that has just started pulls reports first, and one that is alone waits for
+	// other nodes.
 	time.Sleep(time.Second)
 
 	for _, id := range ids {
@@ -77,19 +77,20 @@
 	return m
 }
 
-// crashedTwice is a mesh in which the poison request ended the backend servers of a and b.
+// crashedTwice returns a mesh in which the poison request has crashed the backend servers
+// of a and b.
 func crashedTwice(t *testing.T) *mesh {
 	t.Helper()
 
 	m := newMesh(t, "a", "b", "c")
-	_ = m.press("a")
-	_ = m.press("b")
+	_ = m.sendPoison("a")
+	_ = m.sendPoison("b")
 	assert.Equal(t, m.crashes(), 2)
 
 	return m
 }
 
-// start begins another life of the gate, which knows nothing.
+// start starts the gate again with an empty table.
 func (g *gate) start() {
 	m := g.mesh
 	m.mu.Lock()
@@ -101,33 +102,33 @@
 
 	ctx, cancel := context.WithCancel(m.t.Context())
 
-	g.lives++
-	self := poison.Self{Node: g.id, Life: fmt.Sprintf("%s#%d", g.id, g.lives), Address: g.id}
-	g.watch = poison.NewWatch(self, g, g, timeline.New(timeline.Node(g.id))).WithStandstills(&g.stood)
+	g.boots++
+	self := poison.Self{Node: g.id, Life: fmt.Sprintf("%s#%d", g.id, g.boots), Address: g.id}
+	g.watch = poison.NewWatch(self, g, g, timeline.New(timeline.Node(g.id))).WithStandstills(&g.stalls)
 	g.stop = cancel
 
 	go g.watch.Run(ctx)
 }
 
-// now returns the life of the gate that runs, and how many there were.
-func (g *gate) now() (*poison.Watch, int) {
+// current returns the watch of the running process and the number of starts so far.
+func (g *gate) current() (*poison.Watch, int) {
 	g.mesh.mu.Lock()
 	defer g.mesh.mu.Unlock()
 
-	return g.watch, g.lives
+	return g.watch, g.boots
 }
 
-// meets sets that the gate's node has met others.
-func (g *gate) meets(ids ...string) {
+// considersAlive sets that the gate's node considers other nodes alive.
+func (g *gate) considersAlive(ids ...string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
 	for _, id := range ids {
-		delete(g.held, id)
+		delete(g.states, id)
 	}
 }
 
-// OfService is the nodes that the gate's node knows.
+// OfService returns the nodes in the membership view of the gate's node.
 func (g *gate) OfService(string) []membership.Record {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,21 +136,21 @@
 	var out []membership.Record
 
 	for _, id := range slices.Sorted(maps.Keys(g.mesh.gates)) {
-		_, lives := g.mesh.gates[id].now()
-		state := g.held[id]
+		_, boots := g.mesh.gates[id].current()
+		state := g.states[id]
 		if state == 0 {
 			state = membership.StateAlive
 		}
 
 		out = append(out, membership.Record{
-			ID: id, PeerAddress: id, State: state, Incarnation: uint64(lives), Upstream: membership.Upstream{Service: service},
+			ID: id, PeerAddress: id, State: state, Incarnation: uint64(boots), Upstream: membership.Upstream{Service: service},
 		})
 	}
 
 	return out
 }
 
-// CountLive counts the nodes that the gate's node thinks run.
+// CountLive counts the nodes that the gate's node considers alive.
 func (g *gate) CountLive() int {
 	n := 0
 
@@ -162,17 +163,17 @@
 	return n
 }
 
-// standstills counts how often the gate's process stood still.
-type standstills struct{ n atomic.Int64 }
+// stallCounter counts stalls of the gate's process.
+type stallCounter struct{ n atomic.Int64 }
 
-func (s *standstills) Woke() time.Duration { return time.Duration(s.n.Load()) }
+func (s *stallCounter) Woke() time.Duration { return time.Duration(s.n.Load()) }
 
-// holdsForDead sets that the gate's node holds another for dead.
-func (g *gate) holdsForDead(id string) {
+// considersFailed sets that the gate's node considers another one failed.
+func (g *gate) considersFailed(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	g.held[id] = membership.StateDead
+	g.states[id] = membership.StateDead
 }
 
 // Do carries a message to another gate.
@@ -188,7 +189,7 @@
 		return err
 	}
 
-	w, _ := g.mesh.gates[address].now()
+	w, _ := g.mesh.gates[address].current()
 
 	answer, err := w.Handlers()[method](ctx, body)
 	if err != nil {
@@ -221,37 +222,38 @@
 	return m.sent[method]
 }
 
-// carry takes as long as a message does; over a cut link it ends as a cut network
-// does, when the sender gives up.
+// carry waits for the latency of one message. Over a cut link it fails when the context
+// ends or the dial times out.
 func (m *mesh) carry(ctx context.Context, from, to string) error {
 	m.mu.Lock()
-	lag, cut := m.lag, m.cuts[[2]string{from, to}]
+	latency, cut := m.latency, m.cuts[[2]string{from, to}]
 	m.mu.Unlock()
 
 	if cut {
 		select {
 		case <-ctx.Done():
-		case <-time.After(dialTime):
+		case <-time.After(dialTimeout):
 		}
 
 		return errCut
 	}
 
-	// Timers that are due at once, read by many goroutines of one bubble, share what the
-	// race detector keeps of the bubble's timers and end the process.
-	if lag == 0 {
+	// Without latency no timer is started: timers of one synctest bubble that expire at
+	// the same time and are read by many goroutines share race detector state, and the
+	// detector ends the process.
+	if latency == 0 {
 		return ctx.Err()
 	}
 
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(lag):
+	case <-time.After(latency):
 		return nil
 	}
 }
 
-// cut cuts the links between two gates, or mends them.
+// cut cuts the links between two gates, or restores them.
 func (m *mesh) cut(a, b string, on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -259,16 +261,16 @@
 	m.cuts[[2]string{a, b}], m.cuts[[2]string{b, a}] = on, on
 }
 
-func (m *mesh) slow(lag time.Duration) {
+func (m *mesh) setLatency(latency time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 
-	m.lag = lag
+	m.latency = latency
 }
 
-// press sends the poison request to a gate. It ends the backend server, which
-// starts again, unless the gate refuses; the refusal is returned.
-func (m *mesh) press(id string) error {
+// sendPoison sends the poison request to a gate. It crashes the backend server, which
+// restarts, unless the gate returns a refusal.
+func (m *mesh) sendPoison(id string) error {
 	g := m.gates[id]
 
 	end, err := g.begin("/folders/broken")
@@ -292,9 +294,9 @@
 }
 
 func (g *gate) begin(uri string) (func(poison.Result) []poison.Crash, error) {
-	const patience = 500 * time.Millisecond // of the caller
+	const callerTimeout = 500 * time.Millisecond
 
-	ctx, cancel := context.WithTimeout(g.mesh.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(g.mesh.t.Context(), callerTimeout)
 
 	end, err := g.watch.Begin(ctx, call.Call{ID: "c", Service: service, Method: "GET", URI: uri})
 	if err != nil {
@@ -310,7 +312,7 @@
 	}, nil
 }
 
-// crashes returns how many backend servers ended.
+// crashes returns how many backend servers crashed.
 func (m *mesh) crashes() int {
 	n := 0
 	for _, g := range m.gates {
@@ -320,8 +322,8 @@
 	return n
 }
 
-// cutOff cuts the links between a gate and all others, or mends them.
-func (m *mesh) cutOff(id string, on bool) {
+// isolate cuts the links between a gate and all others, or restores them.
+func (m *mesh) isolate(id string, on bool) {
 	for o := range m.gates {
 		if o != id {
 			m.cut(id, o, on)
--- a/internal/poison/permission.go
+++ b/internal/poison/permission.go
@@ -13,139 +13,141 @@
 
 // Reasons for which a suspect may not run now.
 var (
-	errUnreached = errs.New("poison.unreached", http.StatusServiceUnavailable, "the gate that permits can't be reached")
-	errUntold    = errs.New("poison.untold", http.StatusServiceUnavailable, "not all gates that are thought to run know of the crash")
-	errTaken     = errs.New("poison.taken", http.StatusServiceUnavailable, "the request runs elsewhere")
-	errGone      = errs.New("poison.gone", http.StatusServiceUnavailable, "the gate that permits was started again")
+	errGranterUnreachable = errs.New("poison.unreached", http.StatusServiceUnavailable, "the gate that permits can't be reached")
+	errNotAllNotified     = errs.New("poison.untold", http.StatusServiceUnavailable, "not all gates that are thought to run know of the crash")
+	errRunsElsewhere      = errs.New("poison.taken", http.StatusServiceUnavailable, "the request runs elsewhere")
+	errGranterRestarted   = errs.New("poison.gone", http.StatusServiceUnavailable, "the gate that permits was started again")
 )
 
-// waitingRetry is when the caller of a suspect that may not run now comes back: a run
-// ends within that time, and so does the doubt about a gate that can't be reached.
-const waitingRetry = time.Second
+// waitingRetryAfter is when the caller may retry a suspect that may not run now. A run
+// usually ends within that time.
+const waitingRetryAfter = time.Second
 
-// giver is the gate that permitted a run.
-type giver struct {
+// granter is the gate that granted a permit.
+type granter struct {
 	node    string
-	address string // empty is this gate
+	address string // empty for this gate
 }
 
-// take asks for permission to run a suspect. The gate that saw its first crash permits;
-// if that one is gone, the first by name of the gates that are thought to run. Who
-// permits has told all of them of the crash before. So the second run that crashes finds
-// everybody warned, whoever is cut off from whom, and copies run one after the other.
+// acquirePermit requests a permit to run a suspect. The gate that saw its first crash
+// grants it or, if that gate has terminated, the live gate with the lowest node ID. The
+// granter notifies all live gates of the crash first, so that every gate, on either side
+// of a network partition, knows of it if the permitted run crashes as well. Copies of the
+// request run one at a time.
 //
-// A gate that is thought to run and can't be reached is waited for, two to six seconds
-// until it is held for dead: the callers of innocent requests that were running in a crash
-// are refused as not run in that time, with a time to come back. Let through without an
-// answer, copies on both sides of a cut ended three and four.
-func (w *Watch) take(ctx context.Context, c Crash, p Permit) (giver, error) {
-	running := w.others(p.Service, live)
+// While a gate that is considered alive can't be reached, no permit is granted. That
+// takes two to six seconds, until the gate is considered failed; callers of unrelated
+// suspects are refused as not run for that time, with a time to retry. Granting without
+// an answer let copies on both sides of a partition crash three and four backend servers.
+func (w *Watch) acquirePermit(ctx context.Context, c Crash, p PermitRequest) (granter, error) {
+	liveGates := w.otherGates(p.Service, live)
 	p.Gate = c.Gate
 
 	if c.Gate == w.self.Life {
-		return giver{node: w.self.Node}, w.permit(ctx, p)
+		return granter{node: w.self.Node}, w.grant(ctx, p)
 	}
 
-	for _, m := range running {
+	for _, m := range liveGates {
 		if m.PeerAddress != c.Address {
 			continue
 		}
 
-		g := giver{m.ID, m.PeerAddress}
-		if err := w.askPermit(ctx, g, p); !errors.Is(err, errGone) {
+		g := granter{m.ID, m.PeerAddress}
+		if err := w.requestPermit(ctx, g, p); !errors.Is(err, errGranterRestarted) {
 			return g, err
 		}
 	}
 
-	return w.takeOfAnother(ctx, running, p)
+	return w.acquireFromSubstitute(ctx, liveGates, p)
 }
 
-// takeOfAnother asks the gate that stands in for one that is gone.
-func (w *Watch) takeOfAnother(ctx context.Context, running []membership.Record, p Permit) (giver, error) {
+// acquireFromSubstitute requests the permit from the gate that stands in for a terminated
+// one.
+func (w *Watch) acquireFromSubstitute(ctx context.Context, liveGates []membership.Record, p PermitRequest) (granter, error) {
 	p.Gate = ""
 
-	g := giver{node: w.self.Node}
-	for _, m := range running {
+	g := granter{node: w.self.Node}
+	for _, m := range liveGates {
 		if m.ID < g.node {
-			g = giver{m.ID, m.PeerAddress}
+			g = granter{m.ID, m.PeerAddress}
 		}
 	}
 
 	if g.address == "" {
-		return g, w.permit(ctx, p)
+		return g, w.grant(ctx, p)
 	}
 
-	return g, w.askPermit(ctx, g, p)
+	return g, w.requestPermit(ctx, g, p)
 }
 
-func (w *Watch) askPermit(ctx context.Context, g giver, p Permit) error {
-	var out Permitted
-	if err := w.peers.Do(ctx, g.address, peer.LaneControl, MethodTake, p, &out); err != nil {
-		return errUnreached.With("%s", g.node).Wrap(err)
+func (w *Watch) requestPermit(ctx context.Context, g granter, p PermitRequest) error {
+	var out PermitReply
+	if err := w.peers.Do(ctx, g.address, peer.LaneControl, MethodAcquire, p, &out); err != nil {
+		return errGranterUnreachable.With("%s", g.node).Wrap(err)
 	}
 
-	w.table.Heard(p.Suspect, out.Crashes)
+	w.table.MergeCrashes(p.Suspect, out.Crashes)
 
 	return out.err()
 }
 
-// permit permits a suspect to run, here or at the gate that asks, once everybody knows
-// of the crash and nobody else runs it.
-func (w *Watch) permit(ctx context.Context, p Permit) error {
+// grant lets a suspect run, here or at the requesting gate, once all live gates know of
+// the crash and no other gate runs it.
+func (w *Watch) grant(ctx context.Context, p PermitRequest) error {
 	d := p.Suspect.Digest
 
-	w.table.Heard(p.Suspect, p.Crashes)
+	w.table.MergeCrashes(p.Suspect, p.Crashes)
 
-	if !w.table.Adopt(d) || !w.allTold(ctx, p) {
-		return errUntold
+	if !w.table.Adopt(d) || !w.notifyAll(ctx, p) {
+		return errNotAllNotified
 	}
 
-	if !w.permits.Take(ctx, d) {
-		return errTaken
+	if !w.permits.Acquire(ctx, d) {
+		return errRunsElsewhere
 	}
 
-	if w.table.Judge(d).Refused {
-		w.permits.Give(d)
+	if w.table.Evaluate(d).Refused {
+		w.permits.Release(d)
 
-		return errTaken
+		return errRunsElsewhere
 	}
 
 	return nil
 }
 
-// allTold reports whether all gates that are thought to run know of the crashes of a
-// request, after it has told those that don't.
-func (w *Watch) allTold(ctx context.Context, p Permit) bool {
+// notifyAll notifies the live gates that do not know of the crashes of a request yet, and
+// reports whether all of them know now.
+func (w *Watch) notifyAll(ctx context.Context, p PermitRequest) bool {
 	revision := w.table.Revision(p.Suspect.Digest)
 
-	missing := w.others(p.Service, func(m membership.Record) bool {
-		return m.Live() && w.told.of(m).revision < revision
+	unnotified := w.otherGates(p.Service, func(m membership.Record) bool {
+		return m.Live() && w.notified.ackOf(m).revision < revision
 	})
-	if len(missing) == 0 {
+	if len(unnotified) == 0 {
 		return true
 	}
 
-	w.nudge(p.Service)
+	w.wakeRun(p.Service)
 
-	return w.tell(ctx, missing)
+	return w.notify(ctx, unnotified)
 }
 
-// give gives a permit back, with the crashes that are known now: the warning of the run's
-// own may have arrived nowhere, and the next one that asks would be let through. A permit
-// that does not arrive runs out.
-func (w *Watch) give(ctx context.Context, g giver, p Permit) {
+// releasePermit returns a permit together with the crashes known now. If the
+// notifications of a crash during this run were lost, the granter learns of it here,
+// before it grants the next permit. A permit whose release does not arrive expires.
+func (w *Watch) releasePermit(ctx context.Context, g granter, p PermitRequest) {
 	p.Crashes = w.table.Crashes(p.Suspect.Digest)
 
 	if g.address == "" {
-		w.permits.Give(p.Suspect.Digest)
+		w.permits.Release(p.Suspect.Digest)
 
 		return
 	}
 
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tellTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), notifyTimeout)
 	defer cancel()
 
-	var out Done
+	var out Empty
 
-	_ = w.peers.Do(ctx, g.address, peer.LaneControl, MethodGive, p, &out)
+	_ = w.peers.Do(ctx, g.address, peer.LaneControl, MethodRelease, p, &out)
 }
--- a/internal/poison/permit.go
+++ b/internal/poison/permit.go
@@ -6,58 +6,59 @@
 	"time"
 )
 
-// Permits permits to run a suspect, for one gate at a time.
+// Permits grants permits to run suspects, one per request at a time.
 type Permits struct {
-	mu  sync.Mutex
-	out map[Digest]chan struct{} // closed when the permit is given back
+	mu   sync.Mutex
+	held map[Digest]chan struct{} // closed when the permit is released
 }
 
-// NewPermits returns permits of which none is out.
-func NewPermits() *Permits { return &Permits{out: map[Digest]chan struct{}{}} }
+// NewPermits returns permits of which none is held.
+func NewPermits() *Permits { return &Permits{held: map[Digest]chan struct{}{}} }
 
-// Take waits until nobody has the permit; it reports false when ctx ends first.
-func (l *Permits) Take(ctx context.Context, d Digest) bool {
+// Acquire waits until the permit is free and takes it. It reports false if ctx ends
+// first.
+func (l *Permits) Acquire(ctx context.Context, d Digest) bool {
 	for {
 		l.mu.Lock()
-		back := l.out[d]
+		released := l.held[d]
 
-		if back == nil {
-			mine := make(chan struct{})
-			l.out[d] = mine
+		if released == nil {
+			permit := make(chan struct{})
+			l.held[d] = permit
 			l.mu.Unlock()
-			time.AfterFunc(permitTime, func() { l.giveIf(d, mine) })
+			time.AfterFunc(permitTimeout, func() { l.releaseIf(d, permit) })
 
 			return true
 		}
 		l.mu.Unlock()
 
 		select {
-		case <-back:
+		case <-released:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// Give gives the permit back.
-func (l *Permits) Give(d Digest) {
+// Release returns the permit.
+func (l *Permits) Release(d Digest) {
 	l.mu.Lock()
-	back := l.out[d]
+	released := l.held[d]
 	l.mu.Unlock()
 
-	l.giveIf(d, back)
+	l.releaseIf(d, released)
 }
 
-func (l *Permits) giveIf(d Digest, back chan struct{}) {
+func (l *Permits) releaseIf(d Digest, released chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	if back != nil && l.out[d] == back {
-		close(back)
-		delete(l.out, d)
+	if released != nil && l.held[d] == released {
+		close(released)
+		delete(l.held, d)
 	}
 }
 
-// permitTime is how long a permit is out at most: the gate that has it may have
-// died, and the request would wait for it until the suspicion ends.
-const permitTime = 30 * time.Second
+// permitTimeout is how long a permit is held at most. Without it, a request whose permit
+// holder terminated would wait until the suspicion ends.
+const permitTimeout = 30 * time.Second
--- a/internal/poison/recent.go
+++ b/internal/poison/recent.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// recent remembers which requests finished here a moment ago, in fixed memory;
-// a newer one may take the place of an older one.
-type recent struct {
+// recentFinishes stores which requests finished here recently, in fixed memory: a newer
+// entry overwrites an older one in the same slot.
+type recentFinishes struct {
 	mu    sync.Mutex
 	slots [recentSlots]finish
 }
@@ -17,28 +17,29 @@
 	at    time.Time
 }
 
-// recentSlots holds what a gate finishes within the age of a crashed call: ten
-// slots of a backend server finish some thousand calls a second.
+// recentSlots holds what a gate finishes within the age of a crashed call: a backend
+// server with ten slots finishes some thousand calls per second.
 const recentSlots = 1024
 
-func (r *recent) add(whole uint64) {
+func (r *recentFinishes) add(whole uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	r.slots[whole%recentSlots] = finish{whole, time.Now()}
 }
 
-func (r *recent) has(whole uint64, within time.Duration) bool {
+func (r *recentFinishes) has(whole uint64, within time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	f := r.slots[whole%recentSlots]
 
-	return f.whole == whole && !f.at.IsZero() && time.Since(f.at) <= within+slack
+	return f.whole == whole && !f.at.IsZero() && time.Since(f.at) <= within+finishSlack
 }
 
-// slack is how long before the crashed call began a finish still counts. Calls of
-// a popular request wait for each other once it is suspected, so that none may
-// finish in between; without it such a request is refused after two crashes that
-// follow closely. A request that turned bad within this time takes down more.
-const slack = 250 * time.Millisecond
+// finishSlack is how long before the start of the crashed call a finish still exonerates
+// the request. Copies of a suspected popular request wait for each other, so that none
+// may finish between two crashes in quick succession; without the slack the request would
+// then be refused. A request that starts to crash servers within this time crashes more
+// of them.
+const finishSlack = 250 * time.Millisecond
--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Report is what one gate tells another of one suspect.
+// Report is what one gate reports to another about one suspect.
 type Report struct {
-	// Age is how long ago the call began that crashed at the gate that tells, 0 if it
-	// only heard of it.
+	// Age is the time since the call that crashed at the reporting gate began, 0 if the
+	// crash was elsewhere.
 	Age     time.Duration `msgpack:"Age"`
 	Suspect Suspect       `msgpack:"Suspect"`
 	Crashes []Crash       `msgpack:"Crashes"`
-	// Cleared are crashes that the request was cleared of.
-	Cleared []Crash `msgpack:"Cleared"`
-	// Left is how long the suspicion lasts.
+	// Exonerated are the crashes that the request did not cause.
+	Exonerated []Crash `msgpack:"Cleared"`
+	// Left is the remaining time of the suspicion.
 	Left time.Duration `msgpack:"Left"`
 }
 
@@ -19,8 +19,8 @@
 	r := Report{Suspect: e.suspect, Crashes: e.counted(), Left: e.until.Sub(now)}
 
 	for _, k := range e.crashes {
-		if k.cleared {
-			r.Cleared = append(r.Cleared, k.crash)
+		if k.exonerated {
+			r.Exonerated = append(r.Exonerated, k.crash)
 		}
 	}
 
@@ -31,31 +31,32 @@
 	return r
 }
 
-// Reports returns all that is known, for a gate that starts afresh.
+// Reports returns all known suspects, for a gate that has just started.
 func (t *Table) Reports() []Report {
 	out, _ := t.reports(func(*entry) bool { return true })
 
 	return out
 }
 
-// Known returns what is known of the requests that others report.
+// Known returns what this gate knows of the requests in the given reports.
 func (t *Table) Known(reports []Report) []Report {
-	asked := map[Digest]bool{}
+	wanted := map[Digest]bool{}
 	for _, r := range reports {
-		asked[r.Suspect.Digest] = true
+		wanted[r.Suspect.Digest] = true
 	}
 
-	out, _ := t.reports(func(e *entry) bool { return asked[e.suspect.Digest] })
+	out, _ := t.reports(func(e *entry) bool { return wanted[e.suspect.Digest] })
 
 	return out
 }
 
-// Since returns what this gate saw by itself after a revision, and the revision now.
-func (t *Table) Since(revision uint64) ([]Report, uint64) {
+// ReportsSince returns what this gate reports to others after a revision, and the current
+// revision.
+func (t *Table) ReportsSince(revision uint64) ([]Report, uint64) {
 	return t.reports(func(e *entry) bool { return e.revision > revision })
 }
 
-func (t *Table) reports(takes func(*entry) bool) ([]Report, uint64) {
+func (t *Table) reports(include func(*entry) bool) ([]Report, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -64,7 +65,7 @@
 	var out []Report
 
 	for _, e := range t.entries {
-		if takes(e) && now.Before(e.until) {
+		if include(e) && now.Before(e.until) {
 			out = append(out, e.report(now))
 		}
 	}
@@ -72,7 +73,8 @@
 	return out, t.revision
 }
 
-// Revision returns up to which revision others have to be told of a request.
+// Revision returns the revision up to which other gates must be notified to know of a
+// request.
 func (t *Table) Revision(d Digest) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,23 +86,23 @@
 	return 0
 }
 
-// Heard notes crashes that a call, or a gate that permits, brought the word of.
-func (t *Table) Heard(s Suspect, crashes []Crash) {
+// MergeCrashes records crashes that a call or a permit message carried.
+func (t *Table) MergeCrashes(s Suspect, crashes []Crash) {
 	t.Merge([]Report{{Suspect: s, Crashes: crashes, Left: Hold}})
 }
 
-// Merge takes reports of another gate.
+// Merge records the reports of another gate.
 func (t *Table) Merge(reports []Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
 	for _, r := range reports {
 		for _, c := range r.Crashes {
-			t.note(r.Suspect, known{crash: c}, r.Left)
+			t.record(r.Suspect, crashRecord{crash: c}, r.Left)
 		}
 
-		for _, c := range r.Cleared {
-			t.note(r.Suspect, known{crash: c, cleared: true}, r.Left)
+		for _, c := range r.Exonerated {
+			t.record(r.Suspect, crashRecord{crash: c, exonerated: true}, r.Left)
 		}
 	}
 }
--- a/internal/poison/serve.go
+++ b/internal/poison/serve.go
@@ -7,85 +7,86 @@
 	"github.com/pollencart/pollencart/internal/peer"
 )
 
-// Methods between gates.
+// Peer methods between gates.
 const (
-	MethodTell = "Poison.Tell"
-	MethodPull = "Poison.Pull"
-	MethodTake = "Poison.Take"
-	MethodGive = "Poison.Give"
+	MethodNotify  = "Poison.Tell"
+	MethodPull    = "Poison.Pull"
+	MethodAcquire = "Poison.Take"
+	MethodRelease = "Poison.Give"
 )
 
-// News is what one gate tells another.
-type News struct {
+// Notification reports suspects to another gate.
+type Notification struct {
 	Reports []Report `msgpack:"Reports"`
 }
 
-// Heard is the answer to News.
-type Heard struct {
-	// Finished are the suspects that ran to their end at the gate that was told since
-	// the crashed calls began.
+// NotificationReply is the reply to a Notification.
+type NotificationReply struct {
+	// Finished are the suspects that finished at the notified gate since the crashed
+	// calls began.
 	Finished []Suspect `msgpack:"Finished"`
-	// Known is what the gate that was told knew of the same requests. It may have seen a
-	// crash while it was cut off.
+	// Known is what the notified gate already knew of the same requests. It may have seen
+	// a crash while it was unreachable.
 	Known []Report `msgpack:"Known"`
 }
 
-// Permit names the run that a permit is asked for.
-type Permit struct {
-	// Gate is the life that saw the crash; another one on its host knows nothing. It is
-	// empty if that one is gone and the gate that is asked stands in.
+// PermitRequest acquires or releases the permit to run a suspect.
+type PermitRequest struct {
+	// Gate is the boot ID of the gate process that saw the crash; a later process on its
+	// host knows nothing of it. It is empty if that process has terminated and the
+	// receiver stands in.
 	Gate    string  `msgpack:"Gate"`
 	Service string  `msgpack:"Service"`
 	Suspect Suspect `msgpack:"Suspect"`
 	Crashes []Crash `msgpack:"Crashes"`
 }
 
-// Permitted is the answer to who asks for a permit.
-type Permitted struct {
+// PermitReply is the reply to a request for a permit.
+type PermitReply struct {
 	Granted bool `msgpack:"Granted"`
-	// Gone says that the life that saw the crash has ended, Untold that not all gates
-	// know of it.
+	// Gone is set if the process that saw the crash has terminated, Untold if not all
+	// live gates know of the crash.
 	Gone   bool `msgpack:"Gone"`
 	Untold bool `msgpack:"Untold"`
-	// Crashes are those that count.
+	// Crashes are the crashes that count against the request.
 	Crashes []Crash `msgpack:"Crashes"`
 }
 
-func (p Permitted) err() error {
+func (p PermitReply) err() error {
 	switch {
 	case p.Granted:
 		return nil
 	case p.Gone:
-		return errGone
+		return errGranterRestarted
 	case p.Untold:
-		return errUntold
+		return errNotAllNotified
 	}
 
-	return errTaken
+	return errRunsElsewhere
 }
 
-// Done is an empty message.
-type Done struct{}
+// Empty is an empty message.
+type Empty struct{}
 
-// Handlers returns what other gates may ask, by method.
+// Handlers returns the handlers for requests of other gates, by method.
 func (w *Watch) Handlers() map[string]peer.Handler {
 	return map[string]peer.Handler{
-		MethodTell: peer.Typed(w.serveTell),
-		MethodPull: peer.Typed(w.servePull),
-		MethodTake: peer.Typed(w.serveTake),
-		MethodGive: peer.Typed(w.serveGive),
+		MethodNotify:  peer.Typed(w.serveNotification),
+		MethodPull:    peer.Typed(w.servePull),
+		MethodAcquire: peer.Typed(w.serveAcquire),
+		MethodRelease: peer.Typed(w.serveRelease),
 	}
 }
 
-// serveTell takes what another gate saw, and says what is known of the requests here, and
-// which of them finished since their crashed calls began.
-func (w *Watch) serveTell(_ context.Context, n News) (Heard, error) {
-	out := Heard{Known: w.table.Known(n.Reports)}
+// serveNotification merges the reports of another gate. It replies with what this gate
+// knew of the requests and which of them finished here since their crashed calls began.
+func (w *Watch) serveNotification(_ context.Context, n Notification) (NotificationReply, error) {
+	out := NotificationReply{Known: w.table.Known(n.Reports)}
 
 	w.table.Merge(n.Reports)
 
 	for _, r := range n.Reports {
-		if len(r.Crashes) > 0 && r.Age > 0 && w.recent.has(r.Suspect.Whole, r.Age) {
+		if len(r.Crashes) > 0 && r.Age > 0 && w.recentFinishes.has(r.Suspect.Whole, r.Age) {
 			out.Finished = append(out.Finished, r.Suspect)
 		}
 	}
@@ -93,30 +94,30 @@
 	return out, nil
 }
 
-// servePull tells another gate all that is known here.
-func (w *Watch) servePull(context.Context, Done) ([]Report, error) { return w.table.Reports(), nil }
+// servePull returns all suspects known here.
+func (w *Watch) servePull(context.Context, Empty) ([]Report, error) { return w.table.Reports(), nil }
 
-// serveTake permits a run when nobody else has the permit.
-func (w *Watch) serveTake(ctx context.Context, p Permit) (Permitted, error) {
+// serveAcquire grants a permit, if no other gate holds it.
+func (w *Watch) serveAcquire(ctx context.Context, p PermitRequest) (PermitReply, error) {
 	if p.Gate != "" && p.Gate != w.self.Life {
-		return Permitted{Gone: true}, nil
+		return PermitReply{Gone: true}, nil
 	}
 
-	err := w.permit(ctx, p)
+	err := w.grant(ctx, p)
 
-	return Permitted{
-		Granted: err == nil, Untold: errors.Is(err, errUntold),
+	return PermitReply{
+		Granted: err == nil, Untold: errors.Is(err, errNotAllNotified),
 		Crashes: w.table.Crashes(p.Suspect.Digest),
 	}, nil
 }
 
-// serveGive takes a permit back, after what came of the run.
-func (w *Watch) serveGive(_ context.Context, p Permit) (Done, error) {
-	w.table.Heard(p.Suspect, p.Crashes)
+// serveRelease merges the crashes that a run ended with and releases its permit.
+func (w *Watch) serveRelease(_ context.Context, p PermitRequest) (Empty, error) {
+	w.table.MergeCrashes(p.Suspect, p.Crashes)
 
 	if p.Gate == "" || p.Gate == w.self.Life {
-		w.permits.Give(p.Suspect.Digest)
+		w.permits.Release(p.Suspect.Digest)
 	}
 
-	return Done{}, nil
+	return Empty{}, nil
 }
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -1,26 +1,25 @@
 // Package poison keeps a request that crashes the backend servers which run it
-// from taking down more than two of them.
+// from crashing more than two of them.
 //
-// It answers one bad request that its caller, or the mesh itself by its retries,
-// sends again and again: each time another backend server of the service ends,
-// with all calls that run on it, until none is left.
+// Without it, one bad request that its caller or the mesh retries crashes one
+// backend server of the service after the other, with all calls that run there.
 //
-// A request is told by a digest of method, URI and body; not by its key, since a
-// caller that tries again may take a new one. What was in flight when a backend
-// server crashed is suspected, and every gate of the service is told before the
-// callers are, so that a repeat finds them warned; one that can't be reached is told
-// again until it answers, and the call itself brings the word to the next gate. After
-// the second crash the request is refused for a while, finally and at once.
+// A request is identified by a digest of method, URI and body, not by its key, since
+// a caller may retry with a new one. Requests in flight when a backend server crashes
+// become suspects. All live gates of the service are notified before the callers get
+// their answers, so that a retry finds them notified. Gates that can't be reached are
+// notified again until they answer, and the call itself carries its crashes to the
+// next gate. After the second crash the request is refused at once, for Hold.
 //
-// Most suspects are innocent: calls that ran beside the bad one. A suspect that finished
-// anywhere since shortly before the crashed call began is cleared, everywhere. Until then
-// it runs in one place at a time, by permission of the gate that saw the crash, and only
-// once all gates that are thought to run know of it: copies that are sent through many
-// nodes at once, or on both sides of a cut, can't each take down a backend server.
+// Most suspects are unrelated calls that ran at the same time as the cause. A suspect
+// that finished anywhere since shortly before the crashed call began is exonerated on
+// all gates. Until then it runs in one place at a time, with a permit of the gate that
+// saw the crash and only once all live gates know of it. So copies that are sent through
+// many nodes at once, or on both sides of a partition, can't each crash a backend server.
 //
-// Thresholds: two crashes, since after one nobody can tell the guilty from the
-// others, and a third would tell nothing new. A timeout, a broken connection to a
-// backend server that goes on, and a drain are no crashes.
+// The limit is two crashes: one does not distinguish the cause from other suspects, and
+// a third adds no information. A timeout, a broken connection to a backend server that
+// keeps running, and a drain do not count as crashes.
 //
 // # Usage
 //
@@ -29,8 +28,8 @@
 //	end, err := w.Begin(ctx, c) // before the call runs
 //	crashes := end(poison.Crashed)
 //
-// Table is what a gate knows, Watch what it does about it, with the parts ask, tell and
-// permission for what it asks of the others.
+// Table stores what a gate knows of suspects. Watch handles crashes and exchanges
+// reports and permits with the other gates.
 package poison
 
 import (
@@ -44,29 +43,30 @@
 )
 
 const (
-	// Limit is how many backend servers a request may take down.
+	// Limit is how many backend servers a request may crash.
 	Limit = 2
 	// Hold is how long a request is refused after its second crash, and how long a
-	// suspicion lasts: long enough for somebody to look, and for the next release
-	// of the service or its caller to be there on the next working day's first try.
+	// suspicion lasts: long enough for an operator to investigate, and for a fixed
+	// release of the service or its caller to be in place at the first try of the next
+	// working day.
 	Hold = 10 * time.Minute
-	// MaxSuspects bounds the table. A crash adds no more than the slots of one
-	// backend server; a thousand crashes within Hold fit.
+	// MaxSuspects bounds the table. One crash adds at most as many suspects as a backend
+	// server has slots; a thousand crashes within Hold fit.
 	MaxSuspects = 10_000
 )
 
-// Digest tells requests apart.
+// Digest identifies a request.
 type Digest [16]byte
 
 // Suspect is a request that was in flight when a backend server crashed.
 type Suspect struct {
 	Digest Digest `msgpack:"Digest"`
-	// Whole also covers the headers: only a request that is equal to the last
-	// detail clears a suspect, since the crash may hang on a header.
+	// Whole also covers the headers: only an identical request exonerates a suspect,
+	// since a header may cause the crash.
 	Whole uint64 `msgpack:"Whole"`
 }
 
-// Of returns what a request is suspected by.
+// Of returns the suspect of a call's request.
 func Of(c call.Call) Suspect {
 	s := sha256.New()
 	s.Write([]byte(c.Method))
@@ -75,21 +75,21 @@
 	s.Write([]byte{0})
 	s.Write(c.Body)
 
-	return Suspect{Digest: Digest(s.Sum(nil)[:len(Digest{})]), Whole: wholeOf(c)}
+	return Suspect{Digest: Digest(s.Sum(nil)[:len(Digest{})]), Whole: wholeHash(c)}
 }
 
-// wholeOf is cheap, since it is worked out for every call. Headers come in any
-// order, so their hashes are added up.
-func wholeOf(c call.Call) uint64 {
-	sum := pair(c.Method, c.URI) + xxhash.Sum64(c.Body)
+// wholeHash is cheap, since it runs for every call. It adds up the hashes of the headers,
+// so that their order does not matter.
+func wholeHash(c call.Call) uint64 {
+	sum := hashPair(c.Method, c.URI) + xxhash.Sum64(c.Body)
 	for _, f := range c.Header {
-		sum += pair(f.Name, f.Value)
+		sum += hashPair(f.Name, f.Value)
 	}
 
 	return sum
 }
 
-func pair(a, b string) uint64 {
+func hashPair(a, b string) uint64 {
 	var d xxhash.Digest
 
 	d.Reset()
@@ -100,7 +100,7 @@
 	return d.Sum64()
 }
 
-// Crash names one end of one backend server.
+// Crash identifies one crash of one backend server.
 type Crash = call.Crash
 
 // Verdict is what is known of a request.
@@ -108,13 +108,13 @@
 	// Suspected is set after the first crash, Refused after the second.
 	Suspected bool
 	Refused   bool
-	// Left is how long the verdict holds.
+	// Left is how long the verdict remains valid.
 	Left time.Duration
-	// Crash is the first one; its gate permits to run the request.
+	// Crash is the first one; the gate that saw it grants permits for the request.
 	Crash Crash
 }
 
-// Table is what one gate knows of suspects.
+// Table stores what one gate knows of suspects.
 type Table struct {
 	mu       sync.Mutex
 	entries  map[Digest]*entry
@@ -124,33 +124,34 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: map[Digest]*entry{}} }
 
-// Crashed notes that the request was in flight in a crash. The same crash counts
-// once, however often it is told.
+// Crashed records that the request was in flight during a crash. A crash counts once,
+// however often it is reported.
 func (t *Table) Crashed(s Suspect, c Crash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	t.note(s, known{crash: c}, Hold)
+	t.record(s, crashRecord{crash: c}, Hold)
 }
 
-// Saw is Crashed for a crash that was seen here; the call began at the given time.
-func (t *Table) Saw(s Suspect, c Crash, began time.Time) {
+// CrashedLocally is Crashed for a crash that this gate saw; the call began at the given
+// time.
+func (t *Table) CrashedLocally(s Suspect, c Crash, began time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	e := t.note(s, known{crash: c}, Hold)
+	e := t.record(s, crashRecord{crash: c}, Hold)
 	e.began = began
-	t.own(e)
+	t.bumpRevision(e)
 }
 
-// own has what is known of the request told to the other gates.
-func (t *Table) own(e *entry) {
+// bumpRevision marks an entry as one that this gate reports to the others.
+func (t *Table) bumpRevision(e *entry) {
 	t.revision++
 	e.revision = t.revision
 }
 
-// Adopt has the others told of a request as if it had crashed here, in place of a gate
-// that is gone. It reports whether the request is known.
+// Adopt has this gate report a request to the others in place of a terminated gate, as if
+// it had crashed here. It reports whether the request is known.
 func (t *Table) Adopt(d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,24 +162,24 @@
 	}
 
 	if e.revision == 0 {
-		t.own(e)
+		t.bumpRevision(e)
 	}
 
 	return true
 }
 
-func (t *Table) note(s Suspect, k known, left time.Duration) *entry {
+func (t *Table) record(s Suspect, k crashRecord, left time.Duration) *entry {
 	now := time.Now()
 
 	e := t.entries[s.Digest]
 	if e == nil || now.After(e.until) {
-		t.room()
+		t.evict()
 
 		e = &entry{suspect: s}
 		t.entries[s.Digest] = e
 	}
 
-	if e.add(k) {
+	if e.merge(k) {
 		if until := now.Add(min(left, Hold)); until.After(e.until) {
 			e.until = until
 		}
@@ -187,9 +188,9 @@
 	return e
 }
 
-// room drops what has run out, and at the bound the suspicion that ends first;
-// refused requests go last, since they are known to be guilty.
-func (t *Table) room() {
+// evict drops expired entries and, if the table is still full, the suspicion that ends
+// first. Refused requests are dropped last, since they are known to cause crashes.
+func (t *Table) evict() {
 	if len(t.entries) < MaxSuspects {
 		return
 	}
@@ -208,7 +209,7 @@
 			continue
 		}
 
-		if first == nil || before(e, first) {
+		if first == nil || evictsBefore(e, first) {
 			oldest, first = d, e
 		}
 	}
@@ -218,9 +219,9 @@
 	}
 }
 
-// Finished clears a suspect that ran to its end of all crashes that are known here, and
-// reports whether it was one. A request that crashes each backend server which runs it
-// never does.
+// Finished exonerates a suspect that finished of all crashes known here, and reports
+// whether it was suspected. A request that crashes each backend server which runs it
+// never finishes.
 func (t *Table) Finished(s Suspect) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -231,16 +232,16 @@
 	}
 
 	for i := range e.crashes {
-		e.crashes[i].cleared = true
+		e.crashes[i].exonerated = true
 	}
 
-	t.own(e)
+	t.bumpRevision(e)
 
 	return true
 }
 
-// Judge says whether a request may run.
-func (t *Table) Judge(d Digest) Verdict {
+// Evaluate returns whether a request is suspected or refused.
+func (t *Table) Evaluate(d Digest) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -264,7 +265,7 @@
 	return Verdict{Suspected: true, Refused: len(crashes) >= Limit, Left: left, Crash: crashes[0]}
 }
 
-// Crashes returns the crashes of a request that count.
+// Crashes returns the crashes that count against a request.
 func (t *Table) Crashes(d Digest) []Crash {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -276,7 +277,7 @@
 	return nil
 }
 
-// Size returns the number of suspects.
+// Size returns the number of entries.
 func (t *Table) Size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -21,10 +21,10 @@
 	second = poison.Crash{Gate: "b", Number: 1}
 )
 
-// The report of one crash reaches a gate three times, from the pull, the gate
-// itself and a copy under way. Counted three times it would refuse a folder that
-// was only open beside the broken one.
-func TestACrashCountsOnce(t *testing.T) {
+// The report of one crash reaches a gate three times: by the pull, from the gate that saw
+// it and from a concurrent copy. If it counted three times, an unrelated request would be
+// refused.
+func TestRepeatedReportOfCrashCountsOnce(t *testing.T) {
 	table := poison.NewTable()
 	s := request("/folders/1", "phone")
 
@@ -32,15 +32,15 @@
 		table.Crashed(s, first)
 	}
 
-	v := table.Judge(s.Digest)
+	v := table.Evaluate(s.Digest)
 	assert.Assert(t, v.Suspected && !v.Refused)
 	assert.Equal(t, v.Crash, first)
 
 	table.Crashed(s, second)
-	assert.Assert(t, table.Judge(s.Digest).Refused)
+	assert.Assert(t, table.Evaluate(s.Digest).Refused)
 }
 
-func TestARefusalEndsAfterAWhile(t *testing.T) {
+func TestRefusalExpiresAfterHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := poison.NewTable()
 		s := request("/folders/1", "phone")
@@ -48,59 +48,59 @@
 		table.Crashed(s, second)
 
 		time.Sleep(poison.Hold - time.Second)
-		assert.Equal(t, table.Judge(s.Digest).Left, time.Second)
+		assert.Equal(t, table.Evaluate(s.Digest).Left, time.Second)
 
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, table.Judge(s.Digest), poison.Verdict{})
+		assert.Equal(t, table.Evaluate(s.Digest), poison.Verdict{})
 	})
 }
 
-// The crash hangs on a header. Others who open the same folder without it finish
-// well, and must not clear it.
-func TestOnlyAnEqualRequestClearsASuspect(t *testing.T) {
+// A header causes the crash. The same request without the header finishes and must not
+// exonerate it.
+func TestOnlyIdenticalRequestExoneratesSuspect(t *testing.T) {
 	table := poison.NewTable()
 	bad, good := request("/folders/1", "broken"), request("/folders/1", "phone")
 	assert.Equal(t, bad.Digest, good.Digest)
 
 	table.Crashed(bad, first)
 	assert.Assert(t, !table.Finished(good))
-	assert.Assert(t, table.Judge(bad.Digest).Suspected)
+	assert.Assert(t, table.Evaluate(bad.Digest).Suspected)
 
 	assert.Assert(t, table.Finished(bad))
-	assert.Assert(t, !table.Judge(bad.Digest).Suspected)
+	assert.Assert(t, !table.Evaluate(bad.Digest).Suspected)
 }
 
-// A flood of crashes fills the table. What was refused stays refused; a first
-// suspicion gives way.
-func TestTheTableIsBounded(t *testing.T) {
+// A flood of crashes fills the table. Refused requests stay; first suspicions are
+// dropped.
+func TestFullTableKeepsRefusedRequests(t *testing.T) {
 	table := poison.NewTable()
-	guilty := request("/folders/broken", "phone")
-	table.Crashed(guilty, first)
-	table.Crashed(guilty, second)
+	bad := request("/folders/broken", "phone")
+	table.Crashed(bad, first)
+	table.Crashed(bad, second)
 
 	for i := range poison.MaxSuspects + 10 {
 		table.Crashed(request(fmt.Sprintf("/folders/%d", i), "phone"), first)
 	}
 
 	assert.Equal(t, table.Size(), poison.MaxSuspects)
-	assert.Assert(t, table.Judge(guilty.Digest).Refused)
+	assert.Assert(t, table.Evaluate(bad.Digest).Refused)
 }
 
-// The gate that has the permit to run a suspect dies. It must come back, or
-// the request waits for ever.
-func TestAPermitComesBack(t *testing.T) {
+// The holder of a permit terminates. The permit must expire, or the request waits for
+// ever.
+func TestPermitExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		permits := poison.NewPermits()
 		d := request("/folders/1", "phone").Digest
 
-		assert.Assert(t, permits.Take(t.Context(), d))
+		assert.Assert(t, permits.Acquire(t.Context(), d))
 
 		began := time.Now()
 
-		assert.Assert(t, permits.Take(t.Context(), d))
+		assert.Assert(t, permits.Acquire(t.Context(), d))
 		assert.Equal(t, time.Since(began), 30*time.Second)
 
-		permits.Give(d)
-		assert.Assert(t, permits.Take(t.Context(), d))
+		permits.Release(d)
+		assert.Assert(t, permits.Acquire(t.Context(), d))
 	})
 }
--- a/internal/poison/tell.go
+++ b/internal/poison/tell.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// tellTime bounds how long the callers of a crashed backend server wait until
-	// the other gates are warned.
-	tellTime = 250 * time.Millisecond
-	// tellAtOnce is how many gates are told at the same time.
-	tellAtOnce = 64
-	// tellAgain is the pause before a gate that was not reached is told again. A caller
-	// presses the button again after some tenths of a second, so that a gate that is
-	// back knows before.
-	tellAgain = 100 * time.Millisecond
-	// lookAgain is how often a gate that has something to tell looks for gates that
-	// came since.
-	lookAgain = 250 * time.Millisecond
+	// notifyTimeout bounds how long the callers of a crashed backend server wait until
+	// the other gates are notified.
+	notifyTimeout = 250 * time.Millisecond
+	// notifyConcurrency is how many gates are notified at the same time.
+	notifyConcurrency = 64
+	// notifyRetryInterval is the pause before unreachable gates are notified again. A
+	// user retries by hand after some tenths of a second, so a gate that is reachable
+	// again must know before that.
+	notifyRetryInterval = 100 * time.Millisecond
+	// reconcileInterval is how often a gate with something to report looks for gates that
+	// have joined since.
+	reconcileInterval = 250 * time.Millisecond
 )
 
-// told is which of the other gates know what this one saw.
-type told struct {
+// notified tracks which reports of this gate the other gates have received.
+type notified struct {
 	mu   sync.Mutex
 	acks map[string]ack // by node
 }
 
-// ack is up to which revision one life of a gate knows.
+// ack is the revision up to which one incarnation of a gate is notified.
 type ack struct {
 	incarnation uint64
 	revision    uint64
-	missed      time.Time // since when it could not be told, or zero
+	failedSince time.Time // start of the current failure to notify the gate, or zero
 }
 
-// of returns what is known of a gate; one that was started again knows nothing.
-func (t *told) of(m membership.Record) ack {
+// ackOf returns what a gate has received; one that has restarted has received nothing.
+func (t *notified) ackOf(m membership.Record) ack {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -55,8 +55,8 @@
 	return a
 }
 
-// note keeps that a gate was told, or could not be told.
-func (t *told) note(m membership.Record, revision uint64, err error) (before ack) {
+// record stores the result of notifying a gate and returns the state before.
+func (t *notified) record(m membership.Record, revision uint64, err error) (before ack) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -69,9 +69,9 @@
 
 	switch {
 	case err == nil:
-		a.revision, a.missed = max(a.revision, revision), time.Time{}
-	case a.missed.IsZero():
-		a.missed = time.Now()
+		a.revision, a.failedSince = max(a.revision, revision), time.Time{}
+	case a.failedSince.IsZero():
+		a.failedSince = time.Now()
 	}
 
 	t.acks[m.ID] = a
@@ -79,13 +79,13 @@
 	return before
 }
 
-// others returns the other gates of a service that the filter takes, also those whose
-// backend server is away: it may be back before the repeat comes.
-func (w *Watch) others(service string, takes func(membership.Record) bool) []membership.Record {
+// otherGates returns the other gates of a service that the filter includes, also those
+// whose backend server is unavailable: it may be back before the retry arrives.
+func (w *Watch) otherGates(service string, include func(membership.Record) bool) []membership.Record {
 	var out []membership.Record
 
 	for _, m := range w.members.OfService(service) {
-		if m.ID != w.self.Node && takes(m) {
+		if m.ID != w.self.Node && include(m) {
 			out = append(out, m)
 		}
 	}
@@ -95,32 +95,32 @@
 
 func live(m membership.Record) bool { return m.Live() }
 
-func anyState(m membership.Record) bool { return m.State != membership.StateLeft }
+func notLeft(m membership.Record) bool { return m.State != membership.StateLeft }
 
-// warn tells the gates that are thought to run before the caller has its answer, so
-// that its repeat can't be faster than the warning.
-func (w *Watch) warn(ctx context.Context, service string) {
-	w.tell(context.WithoutCancel(ctx), w.others(service, live))
+// notifyLive notifies all live gates before the caller gets its answer, so that its retry
+// can't arrive before the notification.
+func (w *Watch) notifyLive(ctx context.Context, service string) {
+	w.notify(context.WithoutCancel(ctx), w.otherGates(service, live))
 }
 
-// tell tells gates what this one saw and they don't know yet, and reports whether
-// all of them know now. A suspect that finished at one of them since the crashed call
-// began is cleared.
-func (w *Watch) tell(ctx context.Context, gates []membership.Record) bool {
-	ctx, cancel := context.WithTimeout(ctx, tellTime)
+// notify sends gates the reports that they have not received yet, and reports whether all
+// of them know them now. A suspect that finished at one of them since the crashed call
+// began is exonerated.
+func (w *Watch) notify(ctx context.Context, gates []membership.Record) bool {
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 
 	var (
 		g      errgroup.Group
-		missed atomic.Bool
+		failed atomic.Bool
 	)
 
-	g.SetLimit(tellAtOnce)
+	g.SetLimit(notifyConcurrency)
 
 	for _, m := range gates {
 		g.Go(func() error {
-			if err := w.tellOne(ctx, m); err != nil {
-				missed.Store(true) // told again by Run
+			if err := w.notifyOne(ctx, m); err != nil {
+				failed.Store(true) // Run retries
 			}
 
 			return nil
@@ -129,26 +129,26 @@
 
 	_ = g.Wait() // no error is returned above
 
-	return !missed.Load()
+	return !failed.Load()
 }
 
-func (w *Watch) tellOne(ctx context.Context, m membership.Record) error {
-	reports, revision := w.table.Since(w.told.of(m).revision)
+func (w *Watch) notifyOne(ctx context.Context, m membership.Record) error {
+	reports, revision := w.table.ReportsSince(w.notified.ackOf(m).revision)
 	if len(reports) == 0 {
 		return nil
 	}
 
-	var out Heard
+	var out NotificationReply
 
-	err := w.peers.Do(ctx, m.PeerAddress, peer.LaneControl, MethodTell, News{Reports: reports}, &out)
-	before := w.told.note(m, revision, err)
+	err := w.peers.Do(ctx, m.PeerAddress, peer.LaneControl, MethodNotify, Notification{Reports: reports}, &out)
+	before := w.notified.record(m, revision, err)
 
 	switch {
-	case err != nil && before.missed.IsZero():
+	case err != nil && before.failedSince.IsZero():
 		w.recorder.Record(event.PoisonUntold, timeline.Entry{Peer: m.ID, Detail: m.State.String() + ": " + err.Error()})
-	case err == nil && !before.missed.IsZero():
+	case err == nil && !before.failedSince.IsZero():
 		w.recorder.Record(event.PoisonTold, timeline.Entry{
-			Peer: m.ID, Detail: "after " + time.Since(before.missed).Round(time.Millisecond).String(),
+			Peer: m.ID, Detail: "after " + time.Since(before.failedSince).Round(time.Millisecond).String(),
 		})
 	}
 
@@ -161,8 +161,8 @@
 	return err
 }
 
-// nudge has Run look at once whom to tell.
-func (w *Watch) nudge(service string) {
+// wakeRun makes Run reconcile at once.
+func (w *Watch) wakeRun(service string) {
 	w.mu.Lock()
 	w.service = service
 	w.mu.Unlock()
@@ -173,45 +173,46 @@
 	}
 }
 
-// Run tells gates what they missed, and asks for what was missed here, until ctx ends.
+// Run notifies gates that missed reports, and pulls reports that were missed here, until
+// ctx ends.
 //
-// What goes wrong without it: a gate that was frozen, cut off or slow for a quarter of
-// a second while others were warned stays without the warning for as long as the
-// suspicion lasts, and the next repeat that reaches it ends a third backend server.
+// Without it, a gate that was stalled, unreachable or slow for 0.25 s during the first
+// notification misses the report until the suspicion ends, and the next retry that
+// reaches it crashes a third backend server.
 func (w *Watch) Run(ctx context.Context) {
-	var again <-chan time.Time // nil is never ready
+	var timer <-chan time.Time // a nil channel is never ready
 
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-w.wake:
-		case <-again:
+		case <-timer:
 		}
 
-		again = nil
-		if pause := w.even(ctx); pause > 0 {
-			again = time.After(pause)
+		timer = nil
+		if pause := w.reconcile(ctx); pause > 0 {
+			timer = time.After(pause)
 		}
 	}
 }
 
-// even tells and asks once, and returns when to do so again, 0 if there is nothing to
-// tell and nobody to ask.
-func (w *Watch) even(ctx context.Context) time.Duration {
+// reconcile notifies and pulls once, and returns when to do so again, 0 if nothing is
+// left to notify or pull.
+func (w *Watch) reconcile(ctx context.Context) time.Duration {
 	w.mu.Lock()
 	service := w.service
 	w.mu.Unlock()
 
-	asked := !w.asking.failed.Load() || w.ask(ctx, service)
-	all := w.tell(ctx, w.others(service, anyState))
-	reports, _ := w.table.Since(0)
+	pulled := !w.pulls.failed.Load() || w.pull(ctx, service)
+	notified := w.notify(ctx, w.otherGates(service, notLeft))
+	reports, _ := w.table.ReportsSince(0)
 
 	switch {
-	case !asked || !all:
-		return tellAgain
+	case !pulled || !notified:
+		return notifyRetryInterval
 	case len(reports) > 0:
-		return lookAgain
+		return reconcileInterval
 	}
 
 	return 0
--- a/internal/poison/watch.go
+++ b/internal/poison/watch.go
@@ -16,17 +16,17 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Errors of a suspected request. The status tells retries, too, to leave it.
+// Errors of a suspected request. Their status, 429, also keeps the mesh from retrying it.
 var (
 	ErrRefused = errs.New("poison.refused", http.StatusTooManyRequests, "the request was running in two crashes of backend servers")
 	ErrWaiting = errs.New("poison.waiting", http.StatusTooManyRequests, "the request was running in a crash and runs elsewhere now")
 )
 
-// Members gives the nodes beside backend servers of a service, also those that are held
-// for dead: they may be back, and take calls, before this node knows.
+// Members lists the gates of a service, also those that are considered failed: they may
+// be running and take calls before this node learns of it.
 type Members interface {
 	OfService(service string) []membership.Record
-	// CountLive counts the nodes that are thought to run, this one too.
+	// CountLive counts the nodes that are considered alive, including this one.
 	CountLive() int
 }
 
@@ -35,81 +35,82 @@
 	Do(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error
 }
 
-// Standstills tells when this process was last seen to have stood still.
-type Standstills interface {
+// StallDetector reports when this process last stalled.
+type StallDetector interface {
 	Woke() time.Duration
 }
 
-type neverStands struct{}
+type neverStalls struct{}
 
-func (neverStands) Woke() time.Duration { return 0 }
+func (neverStalls) Woke() time.Duration { return 0 }
 
-// Self is the gate that watches.
+// Self identifies the gate that this watch belongs to.
 type Self struct {
 	Node    string
 	Life    string
 	Address string
 }
 
-// Watch is what a gate does about crashes of its backend server.
+// Watch handles crashes of the gate's backend server.
 type Watch struct {
-	self        Self
-	members     Members
-	peers       Peers
-	recorder    *timeline.Recorder
-	standstills Standstills
-	table       *Table
-	permits     *Permits
-	recent      recent
-	told        told
-	asking      asking
-	began       time.Time
-	wake        chan struct{} // wakes Run
-
-	mu      sync.Mutex
-	number  uint64 // of the crashes seen here
-	service string // of the calls that come here
-	broken  []*run // of which nobody knows yet whether they ran in a crash
+	self           Self
+	members        Members
+	peers          Peers
+	recorder       *timeline.Recorder
+	stalls         StallDetector
+	table          *Table
+	permits        *Permits
+	recentFinishes recentFinishes
+	notified       notified
+	pulls          pulls
+	began          time.Time
+	wake           chan struct{} // wakes Run
+
+	mu        sync.Mutex
+	lastCrash uint64 // number of the last crash seen here
+	service   string // service of the last call
+	brokenOff []*run // runs that broke off, of which it is unknown whether a crash ended them
 }
 
-// NewWatch returns a watch that has seen nothing.
+// NewWatch returns a watch that has seen no crash.
 func NewWatch(self Self, m Members, p Peers, r *timeline.Recorder) *Watch {
 	w := &Watch{
-		self: self, members: m, peers: p, recorder: r, standstills: neverStands{}, table: NewTable(), permits: NewPermits(),
+		self: self, members: m, peers: p, recorder: r, stalls: neverStalls{}, table: NewTable(), permits: NewPermits(),
 		began: time.Now(), wake: make(chan struct{}, 1),
 	}
-	w.told.acks = map[string]ack{}
+	w.notified.acks = map[string]ack{}
 	w.Stale()
 
 	return w
 }
 
-// WithStandstills sets what tells when this process stood still: what others told it in
-// that time waits in its sockets, beside calls.
-func (w *Watch) WithStandstills(s Standstills) *Watch {
-	w.standstills = s
+// WithStandstills sets the detector of process stalls. Reports that arrive during a stall
+// wait in sockets together with calls, so the watch pulls before it runs the first call
+// after a stall.
+func (w *Watch) WithStandstills(s StallDetector) *Watch {
+	w.stalls = s
 
 	return w
 }
 
-// Stale tells that this gate may not have been told what others were: its process has just
-// started, or its host has another service. It asks before it lets the next call through.
-// A backend server that comes and goes is no reason, since its gate is told meanwhile: asked
-// at each change, its calls would wait each time for a gate that can't be reached.
-func (w *Watch) Stale() { w.asking.changed.Add(1) }
+// Stale marks that this gate may have missed reports: its process has just started, or
+// its host now has another service. The next call waits for a pull. A backend server that
+// stops and starts again is no reason, since its gate still receives reports; a pull at
+// each change would make calls wait for unreachable gates each time.
+func (w *Watch) Stale() { w.pulls.staleMarks.Add(1) }
 
 // Table returns what is known of suspects.
 func (w *Watch) Table() *Table { return w.table }
 
-// Begin reports whether the call may run now. The returned function must be called at
-// its end with what came of it; it returns the crashes that the request is known to have
-// been running in.
+// Begin reports whether the call may run now. The caller must call the returned function
+// with the result when the call ends; it returns the crashes that count against the
+// request.
 func (w *Watch) Begin(ctx context.Context, c call.Call) (func(Result) []Crash, error) {
-	w.Freshen(ctx, c.Service) // something may have been missed while the call waited for its slot
+	w.Freshen(ctx, c.Service) // reports may have been missed while the call waited for its slot
 
-	r := &run{watch: w, call: c, began: time.Now(), number: w.seen()}
+	r := &run{watch: w, call: c, began: time.Now(), crashesBefore: w.crashesSeen()}
 
-	v, err := w.judge(c)
+	v, err := w.evaluate(c)
 
 	switch {
 	case err != nil:
@@ -121,27 +122,26 @@
 	return w.beginSuspect(ctx, r, v)
 }
 
-// Refused returns the refusal of a request that is known to be refused, nil for all others.
-// It comes before the queue: waiting for a slot in vain takes the place of calls that can be
-// served, and a backend server that takes no calls just now would have its callers try the
-// request elsewhere again and again.
+// Refused returns the refusal if the request is known to be refused, else nil. Gates
+// check it before the queue: a refused request would take the place of calls that can
+// run, and with a closed queue its caller would keep retrying on other nodes.
 func (w *Watch) Refused(c call.Call) error {
-	_, err := w.judge(c)
+	_, err := w.evaluate(c)
 
 	return err
 }
 
-// judge tells what is held of a call's request, with the refusal if it is refused.
-func (w *Watch) judge(c call.Call) (Verdict, error) {
+// evaluate returns the verdict on a call's request, with the refusal if it is refused.
+func (w *Watch) evaluate(c call.Call) (Verdict, error) {
 	if len(c.Crashes) > 0 {
-		w.table.Heard(Of(c), c.Crashes)
+		w.table.MergeCrashes(Of(c), c.Crashes)
 	}
 
-	if w.table.Size() == 0 { // almost always
+	if w.table.Size() == 0 { // the usual case
 		return Verdict{}, nil
 	}
 
-	v := w.table.Judge(Of(c).Digest)
+	v := w.table.Evaluate(Of(c).Digest)
 	if v.Refused {
 		return v, w.refuse(c, ErrRefused, v.Left)
 	}
@@ -151,56 +151,56 @@
 
 func (w *Watch) beginSuspect(ctx context.Context, r *run, v Verdict) (func(Result) []Crash, error) {
 	s := Of(r.call)
-	p := Permit{Service: r.call.Service, Suspect: s, Crashes: w.table.Crashes(s.Digest)}
+	p := PermitRequest{Service: r.call.Service, Suspect: s, Crashes: w.table.Crashes(s.Digest)}
 
-	giver, err := w.take(ctx, v.Crash, p)
+	granter, err := w.acquirePermit(ctx, v.Crash, p)
 
-	// Another one may have crashed while this one waited for its permit, or who permits
-	// knows of one that was not known here.
-	if v := w.table.Judge(s.Digest); v.Refused {
+	// While this run waited for its permit another one may have crashed, or the granter
+	// may know of a crash that was unknown here.
+	if v := w.table.Evaluate(s.Digest); v.Refused {
 		if err == nil {
-			w.give(ctx, giver, p)
+			w.releasePermit(ctx, granter, p)
 		}
 
 		return nil, w.refuse(r.call, ErrRefused, v.Left)
 	}
 
 	if err != nil {
-		w.recorder.Record(event.PoisonJudged, timeline.Entry{Call: r.call.ID, Peer: giver.node, Detail: "not permitted: " + err.Error()})
+		w.recorder.Record(event.PoisonJudged, timeline.Entry{Call: r.call.ID, Peer: granter.node, Detail: "not permitted: " + err.Error()})
 
-		return nil, w.refuse(r.call, ErrWaiting, waitingRetry)
+		return nil, w.refuse(r.call, ErrWaiting, waitingRetryAfter)
 	}
 
-	w.recorder.Record(event.PoisonJudged, timeline.Entry{Call: r.call.ID, Peer: giver.node, Detail: "permitted after " + v.Crash.Gate})
+	w.recorder.Record(event.PoisonJudged, timeline.Entry{Call: r.call.ID, Peer: granter.node, Detail: "permitted after " + v.Crash.Gate})
 
-	r.began, r.number = time.Now(), w.seen()
+	r.began, r.crashesBefore = time.Now(), w.crashesSeen()
 
 	return func(o Result) []Crash {
 		crashes := r.end(ctx, o)
-		w.give(ctx, giver, p)
+		w.releasePermit(ctx, granter, p)
 
 		return crashes
 	}, nil
 }
 
-// run is one run of a call here.
+// run is one run of a call on this gate.
 type run struct {
-	watch  *Watch
-	call   call.Call
-	began  time.Time
-	ended  time.Time // when it broke off
-	number uint64    // of the last crash before it began
+	watch         *Watch
+	call          call.Call
+	began         time.Time
+	ended         time.Time // when it broke off
+	crashesBefore uint64    // number of crashes seen before it began
 }
 
 func (r *run) end(ctx context.Context, o Result) []Crash {
 	switch o {
 	case Lost:
 	case BrokenOff:
-		r.watch.keepBroken(r)
+		r.watch.keepBrokenOff(r)
 	case Finished:
 		r.finished()
 	case Crashed:
-		return r.watch.crashed(ctx, append([]*run{r}, r.watch.takeBroken()...)...)
+		return r.watch.reportCrash(ctx, append([]*run{r}, r.watch.takeBrokenOff()...)...)
 	case Down:
 		r.watch.Restarted(ctx)
 	}
@@ -210,39 +210,39 @@
 
 func (r *run) finished() {
 	w := r.watch
-	w.recent.add(wholeOf(r.call))
+	w.recentFinishes.add(wholeHash(r.call))
 
 	if w.table.Size() > 0 && w.table.Finished(Of(r.call)) {
-		w.nudge(r.call.Service)
+		w.wakeRun(r.call.Service)
 	}
 }
 
-// crashed notes the crash that runs were in, warns the other gates, and returns the
-// crashes that the first of the requests is known to have been in.
-func (w *Watch) crashed(ctx context.Context, runs ...*run) []Crash {
+// reportCrash records the crash that ended the runs and notifies the other gates. It
+// returns the crashes that count against the first request.
+func (w *Watch) reportCrash(ctx context.Context, runs ...*run) []Crash {
 	if len(runs) == 0 {
 		return nil
 	}
 
 	for _, r := range runs {
-		s, c := Of(r.call), w.crash(r.number)
+		s, c := Of(r.call), w.crashAfter(r.crashesBefore)
 
-		w.table.Saw(s, c, r.began)
+		w.table.CrashedLocally(s, c, r.began)
 		w.recorder.Record(event.PoisonSuspected, timeline.Entry{
 			Call: r.call.ID, Key: r.call.Key, Detail: describe(r.call, c, len(w.table.Crashes(s.Digest))),
 		})
 	}
 
 	service := runs[0].call.Service
-	w.warn(ctx, service)
+	w.notifyLive(ctx, service)
 
 	for _, r := range runs {
-		if s := Of(r.call); w.recent.has(s.Whole, time.Since(r.began)) {
+		if s := Of(r.call); w.recentFinishes.has(s.Whole, time.Since(r.began)) {
 			w.table.Finished(s)
 		}
 	}
 
-	w.nudge(service)
+	w.wakeRun(service)
 
 	return w.table.Crashes(Of(runs[0].call).Digest)
 }
@@ -251,22 +251,23 @@
 	return fmt.Sprintf("%s %s crash %d of %s, %d count", c.Method, c.URI, crash.Number, crash.Gate, count)
 }
 
-// Result is what came of a run.
+// Result is the outcome of a run.
 type Result int
 
 // The results.
 const (
-	// Lost says nothing: a timeout, a cancellation, a shed call.
+	// Lost allows no conclusion: the call timed out, was canceled or was shed.
 	Lost Result = iota
 	// Finished means that the backend server answered.
 	Finished
-	// Crashed means that the backend server ended while it ran the call.
+	// Crashed means that the backend server crashed while it ran the call.
 	Crashed
-	// BrokenOff means that nobody knows yet: the call was given up while it ran, or its
-	// connection ended without an answer and somebody listens at the address, the backend
-	// server or one that was started in its place.
+	// BrokenOff means that it is unknown whether the backend server crashed: the call was
+	// canceled while it ran, or its connection ended without an answer while its address
+	// accepts connections, from the same process or one started in its place.
 	BrokenOff
-	// Down means that the call found nobody who listens, and did not run.
+	// Down means that nothing listens at the backend server's address; the call did not
+	// run.
 	Down
 )
 
@@ -279,61 +280,60 @@
 	return call.Refuse(fault, call.RanNo, after).WithCrashes(crashes)
 }
 
-// seen returns how many crashes were seen here.
-func (w *Watch) seen() uint64 {
+// crashesSeen returns how many crashes were seen here.
+func (w *Watch) crashesSeen() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	return w.number
+	return w.lastCrash
 }
 
-// crash numbers the crash that a call was running in. All that began after the crash
-// before it report the same one, whenever they notice; what begins afterwards runs on a
-// backend server that was started again, and its crash is another one. Counted as the
-// same until a call had finished, a request that was always the first to come ended the
-// backend server of one host five times of five.
-func (w *Watch) crash(before uint64) Crash {
+// crashAfter identifies the crash of a run that began after the given number of crashes.
+// All runs that began between two crashes report the same crash, whenever they notice it;
+// a run that begins later runs on a restarted backend server, so its crash is another
+// one. Counting all crashes as one until a call finished let a request that always came
+// first crash the same backend server five times out of five.
+func (w *Watch) crashAfter(before uint64) Crash {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	w.number = max(w.number, before+1)
+	w.lastCrash = max(w.lastCrash, before+1)
 
 	return Crash{Gate: w.self.Life, Number: before + 1, Address: w.self.Address}
 }
 
 const (
-	// maxBroken bounds the runs that are kept, for brokenTime: some calls of one backend
-	// server; one that is started again has said so long before.
-	maxBroken  = 64
-	brokenTime = 2 * time.Second
+	// maxBrokenOff bounds the runs that are kept, for brokenOffTime. A restarted backend
+	// server is noticed well within that time.
+	maxBrokenOff  = 64
+	brokenOffTime = 2 * time.Second
 )
 
-// keepBroken keeps a run that broke off until it is known whether its backend server
-// was started again.
-func (w *Watch) keepBroken(r *run) {
+// keepBrokenOff keeps a run that broke off until it is known whether the backend server
+// crashed.
+func (w *Watch) keepBrokenOff(r *run) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
 	r.ended = time.Now()
 
-	w.broken = append(w.broken, r)
-	w.broken = w.broken[max(0, len(w.broken)-maxBroken):]
+	w.brokenOff = append(w.brokenOff, r)
+	w.brokenOff = w.brokenOff[max(0, len(w.brokenOff)-maxBrokenOff):]
 }
 
-// Restarted tells that the backend server ended, or is another process than before. What
-// broke off a moment ago was running when it did. On a busy host it was started again
-// before the gate looked whether its address still took connections, and the crash was
-// taken for a lost answer; and where the entry of the call ended in the same moment, the
-// gate did not look.
-func (w *Watch) Restarted(ctx context.Context) { w.crashed(ctx, w.takeBroken()...) }
+// Restarted reports that the backend server crashed or is another process than before, so
+// runs that broke off within brokenOffTime ended in a crash. The gate's own check misses
+// a crash if the backend server restarts before the gate tests its address, as on a busy
+// host, and is skipped if the entry node of the call terminates at the same moment.
+func (w *Watch) Restarted(ctx context.Context) { w.reportCrash(ctx, w.takeBrokenOff()...) }
 
-// takeBroken returns the runs of which it was not known, and keeps them no longer.
-func (w *Watch) takeBroken() []*run {
+// takeBrokenOff removes and returns the runs that broke off recently.
+func (w *Watch) takeBrokenOff() []*run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	out := slices.DeleteFunc(w.broken, func(r *run) bool { return time.Since(r.ended) >= brokenTime })
-	w.broken = nil
+	out := slices.DeleteFunc(w.brokenOff, func(r *run) bool { return time.Since(r.ended) >= brokenOffTime })
+	w.brokenOff = nil
 
 	return out
 }
--- a/internal/poison/watch_test.go
+++ b/internal/poison/watch_test.go
@@ -11,26 +11,25 @@
 	"github.com/pollencart/pollencart/internal/poison"
 )
 
-// A supervisor starts the backend server again within a moment, and the next call
-// there is the poison request once more. Nothing finished in between, so that each
-// crash was taken for the first one: the log has one 520 after the other with the same
-// crash number and never a 521, and users of the host lose their calls each time.
-func TestABackendServerIsEndedTwiceAtMost(t *testing.T) {
+// A supervisor restarts the backend server and the next call is the poison request again.
+// No call finishes in between; counting all crashes as the first one would never refuse
+// the request.
+func TestRequestCrashesRestartingBackendAtMostTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a")
 
 		for range 5 {
-			_ = m.press("a")
+			_ = m.sendPoison("a")
 			time.Sleep(time.Second)
 		}
 
 		assert.Equal(t, m.crashes(), 2)
-		assert.ErrorIs(t, m.press("a"), poison.ErrRefused)
+		assert.ErrorIs(t, m.sendPoison("a"), poison.ErrRefused)
 	})
 }
 
-// Two copies of a request run beside each other when their backend server ends. That is
-// one crash; counted as two it would refuse a popular folder for ten minutes.
+// Two copies of a request run concurrently when their backend server crashes. That is one
+// crash; counted as two, a popular request would be refused for ten minutes.
 func TestCopiesInOneCrashCountOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a")
@@ -50,59 +49,58 @@
 	})
 }
 
-// One gate is cut off for a moment, just while the others are told of two crashes. It
-// never heard of them: the links were back, nobody told it again, and the next repeat
-// ended a third backend server.
-func TestAGateThatMissedTheWarningIsToldAgain(t *testing.T) {
+// A gate is unreachable while the others are notified of two crashes. If it is not
+// notified again once the links are back, the next retry crashes a third backend server.
+func TestUnreachableGateIsNotifiedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a", "b", "c")
-		m.cutOff("c", true)
+		m.isolate("c", true)
 
-		_ = m.press("a")
-		_ = m.press("b")
+		_ = m.sendPoison("a")
+		_ = m.sendPoison("b")
 
-		m.cutOff("c", false)
+		m.isolate("c", false)
 		time.Sleep(time.Second)
 
-		_ = m.press("c")
+		_ = m.sendPoison("c")
 		assert.Assert(t, m.crashes() <= 2, "%d crashes", m.crashes())
 	})
 }
 
-// A failure domain that was cut off for long is held for dead. It is back, and callers
-// beside it reach it at once, long before the others hold it for alive again; told were
-// only those that are held for alive.
-func TestAGateThatIsHeldForDeadIsToldToo(t *testing.T) {
+// A partitioned failure domain is considered failed. When the partition heals, callers in
+// the domain reach its gates before the others consider them alive again, so gates that
+// are considered failed must be notified too.
+func TestGateConsideredFailedIsNotified(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a", "b", "c")
-		m.cutOff("c", true)
-		m.gates["a"].holdsForDead("c")
-		m.gates["b"].holdsForDead("c")
+		m.isolate("c", true)
+		m.gates["a"].considersFailed("c")
+		m.gates["b"].considersFailed("c")
 
-		_ = m.press("a")
-		_ = m.press("b")
+		_ = m.sendPoison("a")
+		_ = m.sendPoison("b")
 		assert.Equal(t, m.crashes(), 2)
 
-		m.cutOff("c", false)
+		m.isolate("c", false)
 		time.Sleep(time.Second)
 
-		assert.ErrorIs(t, m.press("c"), poison.ErrRefused)
+		assert.ErrorIs(t, m.sendPoison("c"), poison.ErrRefused)
 	})
 }
 
-// The gate that saw the first crash has permitted a copy of the request elsewhere, and
-// a third gate can't reach it. It let its copy through, so that two copies ran side by
-// side and took down two more.
-func TestWhoCannotAskForPermissionWaits(t *testing.T) {
+// The gate that saw the first crash has granted a permit to another gate, and a third
+// gate can't reach the granter. If the third gate ran its copy, two copies would run at
+// the same time and crash two more backend servers.
+func TestSuspectWaitsWhileGranterIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a", "b", "c")
-		_ = m.press("a")
+		_ = m.sendPoison("a")
 
 		end, err := m.gates["b"].begin("/folders/broken")
 		assert.NilError(t, err)
 		m.cut("a", "c", true)
 
-		_ = m.press("c")
+		_ = m.sendPoison("c")
 		m.gates["b"].crashes++
 		end(poison.Crashed)
 
@@ -110,44 +108,45 @@
 	})
 }
 
-// The gate that runs a suspect by permission loses its backend server, and its warnings
-// arrive nowhere in time, on a host that stands still for a quarter of a second; then it gives
-// the permit back. The next gate that asked got it, and ended the third.
-func TestWhoGivesAPermitBackSaysWhatCameOfIt(t *testing.T) {
+// A gate that runs a suspect with a permit loses its backend server, and its
+// notifications time out while its host stalls for 0.25 s. The release of the permit must
+// carry the crash; otherwise the next gate gets the permit and a third backend server
+// crashes.
+func TestReleaseOfPermitReportsCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a", "b", "c")
-		_ = m.press("a")
+		_ = m.sendPoison("a")
 
 		end, err := m.gates["b"].begin("/folders/broken")
 		assert.NilError(t, err)
-		m.cutOff("b", true)
-		time.AfterFunc(240*time.Millisecond, func() { m.cutOff("b", false) }) // what was sent is lost
+		m.isolate("b", true)
+		time.AfterFunc(240*time.Millisecond, func() { m.isolate("b", false) }) // notifications sent before are lost
 
 		m.gates["b"].crashes++
 		end(poison.Crashed)
 
-		assert.ErrorIs(t, m.press("c"), poison.ErrRefused)
+		assert.ErrorIs(t, m.sendPoison("c"), poison.ErrRefused)
 		assert.Equal(t, m.crashes(), 2)
 	})
 }
 
-// The node that saw the first crash is gone. Others permit the request in its place,
-// or an innocent one would wait for ten minutes.
-func TestAnotherGatePermitsForOneThatIsGone(t *testing.T) {
+// The node that saw the first crash has terminated. Another gate grants the permit in its
+// place; otherwise an unrelated request would wait for ten minutes.
+func TestSubstituteGrantsPermitForTerminatedGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a", "b", "c")
-		_ = m.press("a")
-		m.cutOff("a", true)
-		m.gates["b"].holdsForDead("a")
-		m.gates["c"].holdsForDead("a")
+		_ = m.sendPoison("a")
+		m.isolate("a", true)
+		m.gates["b"].considersFailed("a")
+		m.gates["c"].considersFailed("a")
 
 		m.finish("c", "/folders/broken")
 	})
 }
 
-// A cut of a few seconds, in which both sides still hold each other for alive. Each side
-// lost one backend server, then each its second: four for one request.
-func TestTwoSidesOfACutLoseTwoTogether(t *testing.T) {
+// During a short partition both sides consider each other alive. If each side counted
+// crashes alone, one request would crash four backend servers.
+func TestPartitionLosesTwoBackendsAtMost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a", "b", "c", "d")
 
@@ -158,7 +157,7 @@
 
 		for range 3 {
 			for _, id := range []string{"a", "c", "b", "d"} {
-				_ = m.press(id)
+				_ = m.sendPoison(id)
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
@@ -167,29 +166,29 @@
 	})
 }
 
-// A gate lost its backend server while it was cut off. It is back, and has not come to tell
-// the others again when the next press ends another one. Who tells of that one is told of
-// the first; else the third press finds gates that know of one crash, and ends the third.
-func TestWhoIsToldTellsWhatItKnows(t *testing.T) {
+// A gate's backend server crashed while the gate was isolated, and the gate has not
+// notified the others since when the request crashes another one. The notification of the
+// second crash returns the first one; otherwise the third request crashes a third backend
+// server.
+func TestNotificationReplyReportsKnownCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a", "b", "c")
-		m.cutOff("a", true)
-		_ = m.press("a")
-		m.gates["a"].stop() // tells nothing any more by itself
+		m.isolate("a", true)
+		_ = m.sendPoison("a")
+		m.gates["a"].stop() // does not notify by itself any more
 		time.Sleep(time.Second)
-		m.cutOff("a", false)
+		m.isolate("a", false)
 
-		_ = m.press("b")
+		_ = m.sendPoison("b")
 		assert.Equal(t, m.crashes(), 2)
-		assert.ErrorIs(t, m.press("c"), poison.ErrRefused)
+		assert.ErrorIs(t, m.sendPoison("c"), poison.ErrRefused)
 	})
 }
 
-// The gate whose backend server ended can send nothing, but its answers arrive. So it
-// warns nobody, and the entry sends the call on to the next gate, which has not heard of
-// it: one call took down two within 4 ms, in a run that had lost two before. The call
-// itself tells the next gate.
-func TestACallTellsWhatItCrashed(t *testing.T) {
+// The gate whose backend server crashed can send no messages, but its answers arrive, so
+// the entry node retries the call on a gate that was not notified. The call itself must
+// carry the crash; without it one call crashed two backend servers within 4 ms.
+func TestCallCarriesItsCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a", "b", "c")
 		m.cut("a", "b", true)
@@ -206,10 +205,10 @@
 	})
 }
 
-// On a busy host the backend server was started again before its gate looked whether it
-// still takes connections: a broken connection and somebody who listens is no crash. The
-// next process says that it is another one.
-func TestACrashThatIsSeenLate(t *testing.T) {
+// On a busy host the backend server restarts before its gate tests whether the address
+// accepts connections, so the broken connection alone does not show a crash. The new
+// process reports that it is another instance.
+func TestCrashIsCountedAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a", "b")
 		w := m.gates["a"].watch
@@ -221,15 +220,15 @@
 			w.Restarted(t.Context())
 		}
 
-		assert.ErrorIs(t, m.press("a"), poison.ErrRefused)
-		assert.ErrorIs(t, m.press("b"), poison.ErrRefused)
+		assert.ErrorIs(t, m.sendPoison("a"), poison.ErrRefused)
+		assert.ErrorIs(t, m.sendPoison("b"), poison.ErrRefused)
 	})
 }
 
-// The entry of the call is killed in the moment in which the call ends the backend server.
-// The gate's line was a 406 with "context canceled" and no 520 followed: the crash was not
-// counted, and the request ended three in a run beside load.
-func TestACrashOfACallThatWasGivenUp(t *testing.T) {
+// The entry node terminates at the moment when the call crashes the backend server. The
+// gate sees only a canceled call; the crash must still count, from the next call or a
+// restart.
+func TestCrashOfCanceledCallCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, sign := range []poison.Result{poison.Down, poison.Crashed} {
 			m := newMesh(t, "a", "b")
@@ -244,15 +243,15 @@
 				end(sign)
 			}
 
-			assert.ErrorIs(t, m.press("a"), poison.ErrRefused)
-			assert.ErrorIs(t, m.press("b"), poison.ErrRefused)
+			assert.ErrorIs(t, m.sendPoison("a"), poison.ErrRefused)
+			assert.ErrorIs(t, m.sendPoison("b"), poison.ErrRefused)
 		}
 	})
 }
 
-// A handler panics now and then, and the connection ends without an answer. Nothing was
-// started again: the request is no suspect.
-func TestAConnectionThatBreaksOffIsNoCrash(t *testing.T) {
+// A handler panics, and the connection ends without an answer. The backend server did not
+// restart, so the request is no suspect.
+func TestBrokenConnectionWithoutRestartIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(t, "a")
 
@@ -266,9 +265,10 @@
 	})
 }
 
-// A popular folder was open in two crashes and finished well after each. One gate missed
-// the second word, and told the others of the crash once more: they refused the folder.
-func TestWhatWasClearedStaysCleared(t *testing.T) {
+// A popular request was in flight in two crashes and finished after each. A gate that
+// missed the second exoneration reports the crash again; the others must not refuse the
+// request.
+func TestExoneratedCrashStaysExonerated(t *testing.T) {
 	popular := request("/folders/popular", "phone")
 	knows, missed := poison.NewTable(), poison.NewTable()
 
@@ -278,14 +278,14 @@
 	}
 
 	assert.Assert(t, knows.Finished(popular))
-	assert.Assert(t, missed.Judge(popular.Digest).Refused)
+	assert.Assert(t, missed.Evaluate(popular.Digest).Refused)
 
 	knows.Merge(missed.Reports())
-	assert.Assert(t, !knows.Judge(popular.Digest).Suspected)
+	assert.Assert(t, !knows.Evaluate(popular.Digest).Suspected)
 
 	missed.Merge(knows.Reports())
-	assert.Assert(t, !missed.Judge(popular.Digest).Suspected)
+	assert.Assert(t, !missed.Evaluate(popular.Digest).Suspected)
 
 	knows.Crashed(popular, poison.Crash{Gate: "c", Number: 1})
-	assert.Assert(t, knows.Judge(popular.Digest).Suspected)
+	assert.Assert(t, knows.Evaluate(popular.Digest).Suspected)
 }
