--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,15 +1,14 @@
-// Package stall notices that the process stood still: it was frozen, or its host
-// was.
+// Package stall detects that the process was stalled, alone or together with its host.
 //
-// A process that wakes reads what waited in its sockets as if it were new, and does not
-// know what others told while it stood still. Whoever decides by age or by what was
-// told asks here first.
+// After a stall the process reads messages that waited in its sockets as if they were
+// new, and has missed what other nodes reported meanwhile. Code whose decisions depend
+// on the age of a message or on such reports checks the watchdog first.
 //
 // # Usage
 //
 //	w := stall.New()
 //	go w.Run(ctx)
-//	if w.Resumed() { ... } // within Settle of waking
+//	if w.Resumed() { ... } // less than Settle since a stall
 package stall
 
 import (
@@ -19,30 +18,30 @@
 )
 
 const (
-	// beatEvery is how often the watchdog beats, standstill the gap that is taken for
-	// a freeze: far over what a busy scheduler causes.
-	beatEvery  = 400 * time.Millisecond
-	standstill = time.Second
-	// Settle is how long after a standstill a request may still be an old one. All
-	// that waited in sockets is read within it.
+	// tickInterval is how often the watchdog ticks. A longer gap than stallThreshold
+	// counts as a stall; scheduling delays on a busy host are far shorter.
+	tickInterval   = 400 * time.Millisecond
+	stallThreshold = time.Second
+	// Settle is how long after a stall a request may still be an old one. Everything that
+	// waited in sockets is read within it.
 	Settle = 2 * time.Second
 )
 
-// Watchdog notices standstills of its process.
+// Watchdog detects stalls of its process.
 type Watchdog struct {
-	began time.Time
-	beat  atomic.Int64 // when the process was last seen to run
-	woke  atomic.Int64 // when it was last seen to have stood still
+	began     time.Time
+	lastTick  atomic.Int64 // time of the last tick, 0 if the watchdog does not run
+	lastStall atomic.Int64 // end of the last stall, 0 if there was none
 }
 
-// New returns a watchdog that reports nothing before Run.
+// New returns a watchdog that detects nothing before Run.
 func New() *Watchdog { return &Watchdog{began: time.Now()} }
 
-// Run beats until ctx ends.
+// Run ticks until ctx ends.
 func (w *Watchdog) Run(ctx context.Context) {
-	defer w.beat.Store(0)
+	defer w.lastTick.Store(0)
 
-	w.beat.Store(w.now())
+	w.lastTick.Store(w.now())
 
 	for {
 		w.Resumed()
@@ -50,37 +49,38 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(beatEvery):
+		case <-time.After(tickInterval):
 		}
 	}
 }
 
-// now is never 0, which stands for a watchdog that does not run.
+// now returns the time since the start, at least 1, since 0 stands for a watchdog that
+// does not run.
 func (w *Watchdog) now() int64 { return max(int64(time.Since(w.began)), 1) }
 
-// Resumed reports whether the process stood still a moment ago. Whoever asks first
-// after the standstill sees the gap, the beat or a request.
+// Resumed reports whether a stall ended less than Settle ago. The first call after a
+// stall detects it, whether from Run or from a request.
 func (w *Watchdog) Resumed() bool {
-	last, now := w.beat.Load(), w.now()
+	last, now := w.lastTick.Load(), w.now()
 	if last == 0 {
 		return false
 	}
 
-	if now-last > int64(standstill) {
-		w.woke.Store(now)
+	if now-last > int64(stallThreshold) {
+		w.lastStall.Store(now)
 	}
 
-	w.beat.Store(now)
+	w.lastTick.Store(now)
 
-	woke := w.woke.Load()
+	lastStall := w.lastStall.Load()
 
-	return woke != 0 && now-woke < int64(Settle)
+	return lastStall != 0 && now-lastStall < int64(Settle)
 }
 
-// Woke returns how long after the start of the process it was last seen to have stood
-// still, 0 if never; another value than before means another standstill.
+// Woke returns the end of the last stall as the time since the start of the process, 0 if
+// there was none. A changed value means another stall.
 func (w *Watchdog) Woke() time.Duration {
 	w.Resumed()
 
-	return time.Duration(w.woke.Load())
+	return time.Duration(w.lastStall.Load())
 }
