--- a/internal/gate/closed_test.go
+++ b/internal/gate/closed_test.go
@@ -15,7 +15,7 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// slow runs each call for a time, and counts them.
+// slow takes a fixed time for each call and counts calls.
 type slow struct {
 	takes time.Duration
 	ran   int
@@ -32,8 +32,9 @@
 	}
 }
 
-// A node is stopped: what waits at its gate and what comes late must be told at once that it did not run.
-func TestAGateThatShutsFinishesWhatRunsAndRefusesTheRestAsNotRun(t *testing.T) {
+// When a node drains, calls that wait at its gate and calls that arrive later must be
+// refused at once as not run.
+func TestDrainingGateFinishesRunningCallsAndRefusesOthersAsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		queue := admission.New(admission.Slots(1))
 		backend := &slow{takes: 5 * time.Second}
@@ -55,7 +56,7 @@
 			return out
 		}
 
-		runs := serve("runs")
+		running := serve("runs")
 		refused := []<-chan gate.Reply{serve("waits"), serve("waits too")}
 
 		time.Sleep(time.Second)
@@ -70,7 +71,7 @@
 		}
 
 		assert.Equal(t, time.Since(start), time.Second)
-		assert.Equal(t, (<-runs).Answer.Status, http.StatusOK)
+		assert.Equal(t, (<-running).Answer.Status, http.StatusOK)
 		assert.Equal(t, backend.ran, 1)
 		assert.Equal(t, g.Running(), int64(0))
 	})
--- a/internal/gate/describe.go
+++ b/internal/gate/describe.go
@@ -8,31 +8,31 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// usualDetail is as long as most details are.
-const usualDetail = 192
+// detailCapacity fits most details without another allocation.
+const detailCapacity = 192
 
-// answered tells the inputs of the decision on a call that ran, and its outcome.
-func answered(c call.Call, a call.Answer, took time.Duration) string {
-	b := make([]byte, 0, usualDetail)
+// describeAnswer returns the log detail of a call that ran.
+func describeAnswer(c call.Call, a call.Answer, took time.Duration) string {
+	b := make([]byte, 0, detailCapacity)
 	b = timeline.AppendNumber(b, "answered status ", int64(a.Status))
 
-	return string(describe(b, c, a.Load, took))
+	return string(appendCall(b, c, a.Load, took))
 }
 
-// refused tells the same of a call that was turned away, or of which nobody knows.
-func refused(c call.Call, r *call.Refusal, took time.Duration) string {
-	b := make([]byte, 0, usualDetail)
+// describeRefusal returns the log detail of a call that was rejected or whose outcome is
+// unknown.
+func describeRefusal(c call.Call, r *call.Refusal, took time.Duration) string {
+	b := make([]byte, 0, detailCapacity)
 	b = append(b, "refused "...)
 	b = append(b, r.Ran...)
-	b = describe(b, c, r.Load, took)
+	b = appendCall(b, c, r.Load, took)
 	b = append(b, " reason "...)
 
 	return string(append(b, r.Fault.Error()...))
 }
 
-// describe appends how long the call waited and ran, of the time that it had, and what
-// else ran and waited at its end.
-func describe(b []byte, c call.Call, l call.Load, took time.Duration) []byte {
+// appendCall appends the times of the call and the load of the gate at its end.
+func appendCall(b []byte, c call.Call, l call.Load, took time.Duration) []byte {
 	b = append(b, " class "...)
 	b = append(b, c.Class...)
 	b = timeline.AppendNumber(b, " attempt ", int64(c.Attempt))
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -1,5 +1,5 @@
-// Package gate is the end of a call's path: the node beside the backend server
-// takes the call from the entry node, lets it in and runs it.
+// Package gate is the last stage of a call's path: the gate node, on the backend server's
+// host, receives the call from the entry node, admits it and runs it.
 //
 //	g := gate.New(host, queue)
 //	server.Handle(gate.MethodRun, peer.Typed(g.Serve))
@@ -29,7 +29,7 @@
 	Refusal *call.Refusal `msgpack:"Refusal,omitempty"`
 }
 
-// Check reports whether a decoded reply can be used.
+// Check returns an error unless a decoded reply has either an answer or a refusal.
 func (r *Reply) Check() error {
 	if (r.Answer == nil) == (r.Refusal == nil) {
 		return call.ErrInvalid.With("reply wants an answer or a refusal")
@@ -43,7 +43,7 @@
 	Run(ctx context.Context, c call.Call) (call.Answer, error)
 }
 
-// Gate lets calls in to one backend server.
+// Gate admits calls to one backend server.
 type Gate struct {
 	node     string
 	queue    *admission.Queue
@@ -57,12 +57,12 @@
 // New returns a gate.
 func New(node string, r Runner, q *admission.Queue, opts ...Option) *Gate {
 	g := &Gate{node: node, queue: q, options: newOptions(opts...), suspects: noSuspects{}}
-	g.pipe = call.Chain(r.Run, g.deadline, g.settled, g.refuseSuspects, g.admit, g.judge, g.start)
+	g.pipe = call.Chain(r.Run, g.deadline, g.closeUnstarted, g.refuseSuspects, g.admit, g.runSuspects, g.startOnce)
 
 	return g
 }
 
-// Serve answers the entry node.
+// Serve runs a call for the entry node.
 func (g *Gate) Serve(ctx context.Context, c call.Call) (Reply, error) {
 	g.running.Add(1)
 	defer g.running.Add(-1)
@@ -72,17 +72,17 @@
 	a, err := g.pipe(ctx, c)
 	if err != nil {
 		r := g.asRefusal(err)
-		g.options.Recorder.Record(event.CallNotRun, timeline.Entry{Call: c.ID, Key: c.Key, Detail: refused(c, r, time.Since(began))})
+		g.options.Recorder.Record(event.CallNotRun, timeline.Entry{Call: c.ID, Key: c.Key, Detail: describeRefusal(c, r, time.Since(began))})
 
 		return Reply{Refusal: r}, nil
 	}
 
-	g.options.Recorder.Record(event.CallRun, timeline.Entry{Call: c.ID, Key: c.Key, Detail: answered(c, a, time.Since(began))})
+	g.options.Recorder.Record(event.CallRun, timeline.Entry{Call: c.ID, Key: c.Key, Detail: describeAnswer(c, a, time.Since(began))})
 
 	a.Call = c.ID
 	a.Upstream = g.node
 
-	// A filter that answers by itself has not asked the queue.
+	// A pipe stage that answers by itself sets no load.
 	if a.Load.Slots == 0 {
 		a.Load = g.queue.Load()
 	}
@@ -90,11 +90,11 @@
 	return Reply{Answer: &a}, nil
 }
 
-// Running returns how many calls are inside.
+// Running returns how many calls are in flight at the gate.
 func (g *Gate) Running() int64 { return g.running.Load() }
 
-// asRefusal returns the refusal with the load as it is now, and with the times of this
-// call if it got into the queue.
+// asRefusal returns the refusal with the current load, and with the waiting and service
+// times of this call if the queue admitted it.
 func (g *Gate) asRefusal(err error) *call.Refusal {
 	var r *call.Refusal
 	if !errors.As(err, &r) {
@@ -104,7 +104,7 @@
 	return r.WithLoad(g.queue.Load().WithTimes(time.Duration(r.Load.Waited), time.Duration(r.Load.Held)))
 }
 
-// deadline bounds the call by the time that its caller still waits.
+// deadline bounds the call by the time for which its caller still waits.
 func (g *Gate) deadline(next call.Handler) call.Handler {
 	return func(ctx context.Context, c call.Call) (call.Answer, error) {
 		ctx, cancel := context.WithTimeout(ctx, time.Duration(c.Remaining))
@@ -127,12 +127,12 @@
 		invariant.Check(g.options.Recorder, invariant.NothingAfterDrain, !leaving || !g.queue.Load().Leaving,
 			timeline.Entry{Call: c.ID, Key: c.Key})
 
-		begun := time.Now()
+		admitted := time.Now()
 		a, err := next(ctx, c)
 
 		release()
 
-		load := g.queue.Load().WithTimes(begun.Sub(start), time.Since(begun))
+		load := g.queue.Load().WithTimes(admitted.Sub(start), time.Since(admitted))
 		a.Load = load
 
 		var r *call.Refusal
--- a/internal/gate/once.go
+++ b/internal/gate/once.go
@@ -9,22 +9,23 @@
 	"github.com/pollencart/pollencart/internal/once/attempt"
 )
 
-// Starts is the gate's memory of attempts that must start at most once.
+// Starts tracks attempts that must start at most once.
 type Starts interface {
 	Start(t call.Ticket) error
 	Close(t call.Ticket) bool
 }
 
-// WithStarts sets the memory of attempts.
+// WithStarts sets the tracker of attempts.
 func (g *Gate) WithStarts(s Starts) *Gate {
 	g.starts = s
 
 	return g
 }
 
-// settled closes an attempt that is turned away before it started: its home is
-// told that it did not run, so that it must not start when it comes again.
-func (g *Gate) settled(next call.Handler) call.Handler {
+// closeUnstarted closes an attempt that is rejected before it starts. The refusal reports
+// to the key's owner node that the attempt did not run, so the same attempt must not
+// start later.
+func (g *Gate) closeUnstarted(next call.Handler) call.Handler {
 	return func(ctx context.Context, c call.Call) (call.Answer, error) {
 		a, err := next(ctx, c)
 		if err == nil || c.Ticket == nil {
@@ -40,24 +41,26 @@
 	}
 }
 
-// start lets an attempt through once, and not after its home closed it. It comes
-// after the queue, so that an attempt that still waits there can be closed.
-func (g *Gate) start(next call.Handler) call.Handler {
+// startOnce starts each attempt at most once, and not after the key's owner node has
+// closed it. It comes after the queue, so that an attempt can still be closed while it
+// waits.
+func (g *Gate) startOnce(next call.Handler) call.Handler {
 	return func(ctx context.Context, c call.Call) (call.Answer, error) {
 		if c.Ticket == nil {
 			return next(ctx, c)
 		}
 
 		if err := g.starts.Start(*c.Ticket); err != nil {
-			return call.Answer{}, call.Refuse(err, ranBefore(err), time.Second)
+			return call.Answer{}, call.Refuse(err, ranAfterRefusedStart(err), time.Second)
 		}
 
 		return next(ctx, c)
 	}
 }
 
-// ranBefore says what a refused start means for the attempt.
-func ranBefore(err error) call.Ran {
+// ranAfterRefusedStart returns whether the attempt may have run, from the error of its
+// refused start.
+func ranAfterRefusedStart(err error) call.Ran {
 	if errors.Is(err, attempt.ErrEpoch) || errors.Is(err, attempt.ErrClosed) {
 		return call.RanNo
 	}
--- a/internal/gate/options.go
+++ b/internal/gate/options.go
@@ -19,5 +19,5 @@
 	return o
 }
 
-// Recorder sets where events go.
+// Recorder sets the recorder of events.
 func Recorder(r *timeline.Recorder) Option { return func(o *Options) { o.Recorder = r } }
--- a/internal/gate/poison.go
+++ b/internal/gate/poison.go
@@ -9,21 +9,21 @@
 	"github.com/pollencart/pollencart/internal/upstream"
 )
 
-// Suspects judges requests that were running when a backend server crashed.
+// Suspects evaluates requests that were in flight when a backend server crashed.
 type Suspects interface {
 	Freshen(ctx context.Context, service string)
 	Refused(c call.Call) error
 	Begin(ctx context.Context, c call.Call) (end func(poison.Result) []poison.Crash, err error)
 }
 
-// WithSuspects sets who judges requests.
+// WithSuspects sets the evaluation of requests.
 func (g *Gate) WithSuspects(s Suspects) *Gate {
 	g.suspects = s
 
 	return g
 }
 
-// noSuspects lets every request through.
+// noSuspects allows every request.
 type noSuspects struct{}
 
 func (noSuspects) Freshen(context.Context, string) {}
@@ -34,8 +34,8 @@
 	return func(poison.Result) []poison.Crash { return nil }, nil
 }
 
-// refuseSuspects comes before the queue, so that no slot is held by a call that waits for
-// what other gates know, and no request that is refused in any case waits for one.
+// refuseSuspects comes before the queue, so that a call that waits for reports of other
+// gates holds no slot, and a request that is refused anyway waits for none.
 func (g *Gate) refuseSuspects(next call.Handler) call.Handler {
 	return func(ctx context.Context, c call.Call) (call.Answer, error) {
 		if !g.queue.Load().Leaving {
@@ -50,9 +50,9 @@
 	}
 }
 
-// judge comes after the queue, so that what was learned while the call waited
-// counts, and before the start of a keyed attempt, which can't be taken back.
-func (g *Gate) judge(next call.Handler) call.Handler {
+// runSuspects comes after the queue, so that reports received while the call waited
+// count, and before the start of a keyed attempt, which can't be undone.
+func (g *Gate) runSuspects(next call.Handler) call.Handler {
 	return func(ctx context.Context, c call.Call) (call.Answer, error) {
 		end, err := g.suspects.Begin(ctx, c)
 		if err != nil {
--- a/internal/gate/poison_test.go
+++ b/internal/gate/poison_test.go
@@ -18,27 +18,27 @@
 
 func (idle) Run(context.Context, call.Call) (call.Answer, error) { return call.Answer{}, nil }
 
-// poisoned refuses every request.
-type poisoned struct{}
+// refuseAll refuses every request.
+type refuseAll struct{}
 
-func (poisoned) Freshen(context.Context, string) {}
+func (refuseAll) Freshen(context.Context, string) {}
 
-func (poisoned) Refused(call.Call) error {
+func (refuseAll) Refused(call.Call) error {
 	return call.Refuse(poison.ErrRefused, call.RanNo, time.Minute)
 }
 
-func (p poisoned) Begin(_ context.Context, c call.Call) (func(poison.Result) []poison.Crash, error) {
+func (p refuseAll) Begin(_ context.Context, c call.Call) (func(poison.Result) []poison.Crash, error) {
 	return nil, p.Refused(c)
 }
 
-// A request has ended two backend servers, and its caller presses the button again while
-// the others are full or just starting. The node knows that it will not run it; told only
-// that there is no slot, the caller came back after a moment, and other nodes were asked.
-func TestAPoisonRequestIsRefusedBesideAClosedQueue(t *testing.T) {
+// A poison request arrives while the queue is closed. The refusal must be the final one
+// for the request; a refusal for the closed queue would let the caller and other nodes
+// retry it.
+func TestPoisonRequestIsRefusedWithClosedQueue(t *testing.T) {
 	queue := admission.New(admission.Slots(1))
 	queue.Close()
 
-	g := gate.New("a", idle{}, queue).WithSuspects(poisoned{})
+	g := gate.New("a", idle{}, queue).WithSuspects(refuseAll{})
 
 	reply, err := g.Serve(t.Context(), call.Call{ID: "1", Remaining: 1e9})
 	assert.NilError(t, err)
