--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,28 +1,27 @@
-// Package retry decides at the entry whether a call is sent once more.
+// Package retry decides at the entry node whether a failed call is retried.
 //
 // # The load it answers
 //
-// Failing backend servers, and the load that callers and layers add by trying
-// again. Without a bound each failure doubles the load at the worst moment, and
-// in a chain of calls each layer multiplies it: two attempts in each of 12
-// layers are 4,096 calls to the lowest.
+// Failing backend servers, and the load that callers and layers add by retrying.
+// Without a bound each failure doubles the load at the worst moment, and in a chain
+// of calls each layer multiplies it: two attempts in each of 12 layers are 4,096 calls
+// to the lowest.
 //
-//   - Only what is safe: the call surely did not run, or it is idempotent.
-//   - A budget for each route: a fraction (RetryBudget in the tree) of the calls
-//     that were answered. In a full outage nothing is answered, so after the few
-//     attempts that were saved up calls are sent once.
-//   - One layer only: a call that a layer above is already sending again
-//     (Pollencart-Attempt over 1) is not sent again below, and an answer of a
-//     backend server, whatever its status, is passed on. So in a chain only the
-//     layer next to the fault tries again, and 12 layers add 12 calls in the
-//     worst case instead of multiplying.
-//   - Not if turned away for being over a share: another gate would be made to
-//     carry what this one refused with reason.
-//   - A gate that is leaving costs no budget: it says so in its refusal, is not
-//     picked again, and a planned stop has to cut off nobody.
+//   - Only safe retries: the call certainly did not run, or it is idempotent.
+//   - A budget for each route: a fraction (RetryBudget in the tree) of the answered
+//     calls. In a full outage no call is answered, so once the saved budget is used
+//     each call is sent once.
+//   - One layer only: a call that a layer above already retries (Pollencart-Attempt
+//     over 1) is not retried below, and an answer of a backend server is passed on
+//     whatever its status. So in a chain only the layer next to the fault retries, and
+//     12 layers add at most 12 calls instead of multiplying.
+//   - No retry of a call rejected for exceeding its share: it would move the
+//     excess to another gate.
+//   - A retry after a refusal by a draining gate costs no budget: the gate is not
+//     picked again, and a planned stop must not fail any call.
 //
-// Hedging (a second attempt before the first has failed) is not done; docs/design/0203-retries.md
-// has the figures.
+// Hedging (a second attempt before the first has failed) is not implemented;
+// docs/design/0203-retries.md has the measurements.
 //
 // # Usage
 //
@@ -50,42 +49,42 @@
 )
 
 const (
-	// saved bounds the attempts that a route may save up: enough for the calls
-	// that are in flight to one gate when it dies, few against an outage.
-	saved = 10
-	// first is what a route starts with, so that a seldom used one can try
-	// again before it has earned an attempt.
-	first = 2
-	// leastTime is too short for another attempt to bring an answer.
-	leastTime = 2 * time.Millisecond
+	// maxTokens bounds the retries that a route saves up: enough for the calls in flight
+	// to one gate when it terminates, few compared with an outage.
+	maxTokens = 10
+	// initialTokens lets a rarely used route retry before it has earned a token.
+	initialTokens = 2
+	// minRemaining is the least time to the deadline that another attempt needs to be
+	// answered.
+	minRemaining = 2 * time.Millisecond
 )
 
-// Budget holds the budgets of all routes on one node.
+// Budget holds a token bucket for each route of one node; a retry takes one token.
 type Budget struct {
 	mu     sync.Mutex
-	routes map[string]float64
+	routes map[string]float64 // tokens by route
 }
 
-// New returns a budget in which each route may make its first attempts.
+// New returns a budget in which each route has its initial tokens.
 func New() *Budget { return &Budget{routes: map[string]float64{}} }
 
-// Answered adds the fraction of a call that was answered.
+// Answered adds a fraction of a token for an answered call.
 func (b *Budget) Answered(route string, fraction float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	b.routes[route] = min(saved, b.left(route)+fraction)
+	b.routes[route] = min(maxTokens, b.tokens(route)+fraction)
 }
 
-func (b *Budget) left(route string) float64 {
-	if left, ok := b.routes[route]; ok {
-		return left
+func (b *Budget) tokens(route string) float64 {
+	if tokens, ok := b.routes[route]; ok {
+		return tokens
 	}
 
-	return first
+	return initialTokens
 }
 
-// Again reports whether the call is sent once more after attempt n failed.
+// Again reports whether the call is retried after attempt n failed.
 func (b *Budget) Again(ctx context.Context, c call.Call, n int, failed error) bool {
 	var r *call.Refusal
 	if !errors.As(failed, &r) || !Safe(c, r) {
@@ -104,11 +103,11 @@
 		return true
 	}
 
-	return b.take(c.Route, c.Values.RetryBudget)
+	return b.takeToken(c.Route, c.Values.RetryBudget)
 }
 
-// Safe reports whether another attempt can't run the call twice where that
-// matters.
+// Safe reports whether a retry can't run the call twice, or may because the call is
+// idempotent.
 func Safe(c call.Call, r *call.Refusal) bool { return r.Ran == call.RanNo || c.Idempotent }
 
 func timeLeft(ctx context.Context) bool {
@@ -118,19 +117,19 @@
 
 	deadline, ok := ctx.Deadline()
 
-	return !ok || time.Until(deadline) > leastTime
+	return !ok || time.Until(deadline) > minRemaining
 }
 
-func (b *Budget) take(route string, fraction float64) bool {
+func (b *Budget) takeToken(route string, fraction float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	left := b.left(route)
-	if left < 1 || fraction == 0 {
+	tokens := b.tokens(route)
+	if tokens < 1 || fraction == 0 {
 		return false
 	}
 
-	b.routes[route] = left - 1
+	b.routes[route] = tokens - 1
 
 	return true
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -26,7 +26,7 @@
 
 func unknown() error { return call.Refuse(upstream.ErrNoAnswer, call.RanUnknown, time.Second) }
 
-// send makes attempts until one must not follow and returns how many it made.
+// send makes attempts until the budget allows no other one and returns how many it made.
 func send(ctx context.Context, b *retry.Budget, c call.Call, try func(call.Call) error) int {
 	for n := 1; ; n++ {
 		err := try(c.WithAttempt(max(c.Attempt, 1) + n - 1))
@@ -42,9 +42,9 @@
 	}
 }
 
-// Every backend server of a service is down. Callers that try again at once
-// would double the load on what is just coming back.
-func TestAFullOutageIsNotMultiplied(t *testing.T) {
+// All backend servers of a service are down. Unbounded retries would double the load on
+// them while they come back.
+func TestFullOutageAddsFewRetries(t *testing.T) {
 	b := retry.New()
 	attempts := 0
 
@@ -60,9 +60,9 @@
 	assert.Assert(t, float64(attempts) <= 1.1*calls, "%d attempts of %d calls", attempts, calls)
 }
 
-// One backend server of four dies. The calls that were sent to it until that is
-// noticed are to be answered by the others.
-func TestAPartialFailureIsCovered(t *testing.T) {
+// Some calls fail before they run, as when one of several backend servers terminates.
+// Retries must cover all of them.
+func TestPartialFailureIsRetried(t *testing.T) {
 	b := retry.New()
 	lost := 0
 
@@ -85,14 +85,14 @@
 	assert.Equal(t, lost, 0)
 }
 
-// A call goes through twelve layers, each of which makes two attempts. Without
-// the rule that only one layer tries again the lowest is called 4,096 times.
-func TestAChainOfTwelveLayersIsNotMultiplied(t *testing.T) {
+// A call goes through twelve layers, each of which makes two attempts. If every layer
+// retried, the lowest would be called 4,096 times.
+func TestChainOfTwelveLayersRetriesInOneLayer(t *testing.T) {
 	const depth = 12
 
 	lowest := 0
 
-	// Each layer is a node with a budget that never runs out.
+	// Each layer is a node with its own full budget.
 	var layer func(level, attempt int) error
 
 	layer = func(level, attempt int) error {
@@ -122,42 +122,42 @@
 	assert.Assert(t, lowest <= depth+1, "%d", lowest)
 }
 
-func TestWhatIsNotSentAgain(t *testing.T) {
+func TestWhichFailedCallsAreRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		write := newCall(3)
 		write.Idempotent = false
 
-		hasty, cancel := context.WithTimeout(t.Context(), time.Millisecond)
+		shortCtx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
 
-		gone, hangUp := context.WithCancel(t.Context())
-		hangUp()
+		canceledCtx, cancelCall := context.WithCancel(t.Context())
+		cancelCall()
 
-		none := newCall(3)
-		none.Values = &settings.Values{Attempts: 3}
+		noBudget := newCall(3)
+		noBudget.Values = &settings.Values{Attempts: 3}
 
-		leaving := call.Refuse(admission.ErrClosed, call.RanNo, 0).WithLoad(call.Load{Leaving: true})
+		draining := call.Refuse(admission.ErrClosed, call.RanNo, 0).WithLoad(call.Load{Leaving: true})
 
 		for _, c := range []struct {
-			name  string
-			ctx   context.Context
-			call  call.Call
-			n     int
-			err   error
-			again bool
+			name    string
+			ctx     context.Context
+			call    call.Call
+			n       int
+			err     error
+			retried bool
 		}{
 			{"an idempotent call without an answer", t.Context(), newCall(3), 1, unknown(), true},
-			{"an upload that surely did not run", t.Context(), write, 1, notRun(), true},
+			{"an upload that certainly did not run", t.Context(), write, 1, notRun(), true},
 			{"an upload without an answer", t.Context(), write, 1, unknown(), false},
 			{"the last attempt", t.Context(), newCall(3), 3, notRun(), false},
-			{"a layer above tries again", t.Context(), newCall(3).WithAttempt(2), 1, notRun(), false},
-			{"no time left", hasty, newCall(3), 1, notRun(), false},
-			{"the caller is gone", gone, newCall(3), 1, notRun(), false},
+			{"a layer above retries", t.Context(), newCall(3).WithAttempt(2), 1, notRun(), false},
+			{"no time left", shortCtx, newCall(3), 1, notRun(), false},
+			{"the caller canceled", canceledCtx, newCall(3), 1, notRun(), false},
 			{"over its share", t.Context(), newCall(3), 1, call.Refuse(admission.ErrShare, call.RanNo, 0), false},
-			{"no budget", t.Context(), none, 1, notRun(), false},
-			{"no budget, but the gate is leaving", t.Context(), none, 1, leaving, true},
+			{"no budget", t.Context(), noBudget, 1, notRun(), false},
+			{"no budget, but the gate is draining", t.Context(), noBudget, 1, draining, true},
 		} {
-			assert.Equal(t, retry.New().Again(c.ctx, c.call, c.n, c.err), c.again, c.name)
+			assert.Equal(t, retry.New().Again(c.ctx, c.call, c.n, c.err), c.retried, c.name)
 		}
 	})
 }
