--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -3,13 +3,14 @@
 //
 // # The load it answers
 //
-// Backend servers that fail or shed, when each failure would otherwise double the
-// load on those that are left. The bound holds over all nodes together without
-// their talking: each counts its own calls and repeats of a service, and takes its
-// part of the fixed slack. Arrivals that a backend server turns away count too.
+// Backend servers that fail or shed calls. Without a bound each failure would double
+// the load on the remaining ones. The bound holds over all nodes together without
+// messages between them: each node counts its own calls and retries of a service and
+// uses its part of the fixed slack. Calls that a backend server sheds count too.
 //
-// Calls that a repeated run makes are repeats at the services below, which the
-// nodes there can't tell from others. Margin leaves room for them.
+// When a run is retried, the calls that it makes again are retries at the services
+// below, which the nodes there can't distinguish from other calls. Margin leaves room
+// for them.
 //
 // # Usage
 //
@@ -24,50 +25,50 @@
 )
 
 const (
-	// Margin is the part of the bound that is used. A repeated run makes its calls
-	// again, up to two at the service below, whose own repeats come on top: with a
-	// service and the one that it calls failing half of their calls together, the
-	// one below had 1.24 times its bound at 0.8, and 1.10 times at 0.5.
+	// Margin is the part of the bound that is used. A retried run makes its calls again,
+	// up to two at the service below, whose own retries add to them: with two chained
+	// services that both failed half of their calls, the lower one reached 1.24 times its
+	// bound at a margin of 0.8, and 1.10 times at 0.5.
 	Margin = 0.4
-	// FailedMargin is the part up to which calls are repeated that a backend server
-	// has run and failed. They cost a whole run each, and mostly fail because of a
-	// call that they made themselves, which was repeated already.
+	// FailedMargin is the part of the bound for retries of calls that a backend server
+	// ran and failed. Each costs a whole run, and most fail because of a call that the
+	// run made and that was already retried.
 	FailedMargin = 0.15
-	// buckets of a window; a call counts until its bucket is a window old.
+	// buckets divide a window; a call counts until its bucket is older than the window.
 	buckets = 20
 )
 
-// Bound is what all nodes together may not exceed.
+// Bound limits the retries of all nodes together.
 type Bound struct {
-	// Ratio of the repeats of a service to its calls, beyond Slack repeats, in any
-	// Window.
+	// Ratio limits the retries of a service, beyond Slack retries, to a part of its calls
+	// in any Window.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Budget counts the calls and repeats of this node.
+// Budget counts the calls and retries of this node.
 type Budget struct {
-	start time.Time // where the steady clock is read from
+	start time.Time // origin of the monotonic clock
 
 	mu       sync.Mutex
 	bound    Bound
 	services map[string]*counts
 }
 
-// counts are the calls and repeats of one service in the last window.
+// counts are the calls and retries of one service in the last window.
 type counts struct {
 	calls   [buckets]float64
-	repeats [buckets]float64
+	retries [buckets]float64
 	now     int64
 }
 
-// New returns a budget that has counted nothing.
+// New returns a budget without counts.
 func New(b Bound) *Budget {
 	return &Budget{start: time.Now(), bound: b, services: map[string]*counts{}}
 }
 
-// Bind sets another bound; what was counted stays.
+// Bind sets another bound and keeps the counts.
 func (b *Budget) Bind(next Bound) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,30 +81,30 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	c := b.at(service)
+	c := b.current(service)
 	c.calls[c.now%buckets]++
 }
 
-// Again reports whether a call may be sent once more, and counts it if so. Margin is
-// the part of the bound that it may use, nodes is how many share the slack.
+// Again reports whether a call may be retried, and counts the retry if so. margin is the
+// part of the bound that retries may use, nodes the number of nodes that share the slack.
 func (b *Budget) Again(service string, margin float64, nodes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	c := b.at(service)
+	c := b.current(service)
 
 	allowed := margin * (b.bound.Ratio*sum(c.calls) + b.bound.Slack/float64(max(nodes, 1)))
-	if sum(c.repeats)+1 > allowed {
+	if sum(c.retries)+1 > allowed {
 		return false
 	}
 
-	c.repeats[c.now%buckets]++
+	c.retries[c.now%buckets]++
 
 	return true
 }
 
-// at returns the counts of a service with what is too old cleared.
-func (b *Budget) at(service string) *counts {
+// current returns the counts of a service after it has cleared expired buckets.
+func (b *Budget) current(service string) *counts {
 	c := b.services[service]
 	if c == nil {
 		c = &counts{now: b.bucket()}
@@ -113,7 +114,7 @@
 	now := b.bucket()
 	for ; c.now < now && now-c.now <= buckets; c.now++ {
 		next := (c.now + 1) % buckets
-		c.calls[next], c.repeats[next] = 0, 0
+		c.calls[next], c.retries[next] = 0, 0
 	}
 
 	if c.now < now {
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -12,10 +12,9 @@
 
 var bound = retrybudget.Bound{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}
 
-// All backend servers of a service fail. Twelve nodes that know nothing of each other
-// repeat all that they may, and together stay within their part of the bound in every
-// window.
-func TestTheBoundHoldsOverAllNodes(t *testing.T) {
+// All backend servers of a service fail. Twelve nodes that exchange no messages retry as
+// much as they may; together they must stay within the bound in every window.
+func TestBoundHoldsOverAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 12
 
@@ -26,16 +25,16 @@
 
 		const seconds = 40
 
-		calls, again := make([]int, seconds), make([]int, seconds)
+		calls, retries := make([]int, seconds), make([]int, seconds)
 
 		for second := range seconds {
 			for n, b := range budgets {
-				for range 20 + n { // they do not get the same load
+				for range 20 + n { // nodes receive different loads
 					b.First("ledger")
 					calls[second]++
 
 					if b.Again("ledger", retrybudget.Margin, nodes) {
-						again[second]++
+						retries[second]++
 					}
 				}
 			}
@@ -46,7 +45,7 @@
 		for from := range seconds - 10 {
 			c, a := 0, 0
 			for i := from; i < from+10; i++ {
-				c, a = c+calls[i], a+again[i]
+				c, a = c+calls[i], a+retries[i]
 			}
 
 			assert.Assert(t, float64(a) <= retrybudget.Margin*(bound.Ratio*float64(c)+bound.Slack)+nodes, "%d of %d", a, c)
@@ -55,8 +54,8 @@
 	})
 }
 
-// What was counted long ago does not let repeats through now.
-func TestOldCallsDoNotCount(t *testing.T) {
+// Calls older than the window allow no retries.
+func TestExpiredCallsAllowNoRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := retrybudget.New(retrybudget.Bound{Ratio: 0.2, Window: 10 * time.Second})
 		for range 100 {
