--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -25,7 +25,7 @@
 	n.home = once.New(n.config.ID, life, once.Recorder(n.recorder), once.WithShards(n.shards))
 	n.register = attempt.NewRegister(life, attempt.DefaultBound)
 	n.suspects = poison.NewWatch(poison.Self{Node: n.config.ID, Life: life, Address: n.config.PeerAddress},
-		n.table, n.client, n.recorder).WithStandstills(n.stall)
+		n.table, n.client, n.recorder).WithStallDetector(n.stall)
 }
 
 // domains returns all failure domains of the settings in force.
--- a/internal/poison/mesh_test.go
+++ b/internal/poison/mesh_test.go
@@ -104,7 +104,7 @@
 
 	g.boots++
 	self := poison.Self{Node: g.id, Life: fmt.Sprintf("%s#%d", g.id, g.boots), Address: g.id}
-	g.watch = poison.NewWatch(self, g, g, timeline.New(timeline.Node(g.id))).WithStandstills(&g.stalls)
+	g.watch = poison.NewWatch(self, g, g, timeline.New(timeline.Node(g.id))).WithStallDetector(&g.stalls)
 	g.stop = cancel
 
 	go g.watch.Run(ctx)
--- a/internal/poison/watch.go
+++ b/internal/poison/watch.go
@@ -84,10 +84,10 @@
 	return w
 }
 
-// WithStandstills sets the detector of process stalls. Reports that arrive during a stall
+// WithStallDetector sets the detector of process stalls. Reports that arrive during a stall
 // wait in sockets together with calls, so the watch pulls before it runs the first call
 // after a stall.
-func (w *Watch) WithStandstills(s StallDetector) *Watch {
+func (w *Watch) WithStallDetector(s StallDetector) *Watch {
 	w.stalls = s
 
 	return w
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -148,7 +148,7 @@
 	n.pool = backend.New(c.BackendAddress, platform.Headers())
 	n.queue = slots.New()
 	n.watch = poison.NewWatch(poison.Self{Node: c.Node, Life: ulid.Make().String(), Address: c.PeerAddress}, n.table, n.client, n.recorder).
-		WithStandstills(n.stall)
+		WithStallDetector(n.stall)
 	n.host = announce.New(
 		announce.Recorder(n.recorder), announce.WithKeeper(n.tombstone), announce.Changed(n.changed), announce.Probe(n.probe),
 		announce.FirstStart(c.FirstStart), announce.Service(c.Service),
