--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -53,7 +53,7 @@
 func (n *Node) announced() {
 	if s := n.table.Self().Upstream.Service; s != n.serves {
 		n.serves = s
-		n.suspects.Stale()
+		n.suspects.MarkStale()
 	}
 
 	go n.gossip.Tell(context.Background())
--- a/internal/poison/ask.go
+++ b/internal/poison/ask.go
@@ -53,7 +53,7 @@
 	p := &w.pulls
 
 	if woke := int64(w.stalls.Woke()); p.lastStall.Load() != woke && p.lastStall.Swap(woke) != woke {
-		w.Stale()
+		w.MarkStale()
 	}
 
 	if p.staleMarks.Load() == p.pulledMarks.Load() {
--- a/internal/poison/watch.go
+++ b/internal/poison/watch.go
@@ -79,7 +79,7 @@
 		began: time.Now(), wake: make(chan struct{}, 1),
 	}
 	w.notified.acks = map[string]ack{}
-	w.Stale()
+	w.MarkStale()
 
 	return w
 }
@@ -93,11 +93,11 @@
 	return w
 }
 
-// Stale marks that this gate may have missed reports: its process has just started, or
+// MarkStale marks that this gate may have missed reports: its process has just started, or
 // its host now has another service. The next call waits for a pull. A backend server that
 // stops and starts again is no reason, since its gate still receives reports; a pull at
 // each change would make calls wait for unreachable gates each time.
-func (w *Watch) Stale() { w.pulls.staleMarks.Add(1) }
+func (w *Watch) MarkStale() { w.pulls.staleMarks.Add(1) }
 
 // Table returns what is known of suspects.
 func (w *Watch) Table() *Table { return w.table }
