--- a/internal/frontend/attempt.go
+++ b/internal/frontend/attempt.go
@@ -53,7 +53,7 @@
 		last = err
 		c = c.WithCrashes(crashesOf(c, err))
 
-		if !g.budget.Again(ctx, c, made, err) {
+		if !g.budget.Allow(ctx, c, made, err) {
 			break
 		}
 
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -84,8 +84,8 @@
 	return initialTokens
 }
 
-// Again reports whether the call is retried after attempt n failed.
-func (b *Budget) Again(ctx context.Context, c call.Call, n int, failed error) bool {
+// Allow reports whether the call is retried after attempt n failed.
+func (b *Budget) Allow(ctx context.Context, c call.Call, n int, failed error) bool {
 	var r *call.Refusal
 	if !errors.As(failed, &r) || !Safe(c, r) {
 		return false
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -36,7 +36,7 @@
 			return n
 		}
 
-		if !b.Again(ctx, c, n, err) {
+		if !b.Allow(ctx, c, n, err) {
 			return n
 		}
 	}
@@ -157,7 +157,7 @@
 			{"no budget", t.Context(), noBudget, 1, notRun(), false},
 			{"no budget, but the gate is draining", t.Context(), noBudget, 1, draining, true},
 		} {
-			assert.Equal(t, retry.New().Again(c.ctx, c.call, c.n, c.err), c.retried, c.name)
+			assert.Equal(t, retry.New().Allow(c.ctx, c.call, c.n, c.err), c.retried, c.name)
 		}
 	})
 }
