--- a/internal/dispatch/try.go
+++ b/internal/dispatch/try.go
@@ -214,7 +214,7 @@
 
 	d := t.dispatcher
 
-	again := d.options.Budget.Again(t.request.Service, margin, d.options.Members.CountLive())
+	again := d.options.Budget.Allow(t.request.Service, margin, d.options.Members.CountLive())
 	if d.options.Meter != nil {
 		d.options.Meter.Repeated(t.request.Service, again)
 	}
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -85,9 +85,9 @@
 	c.calls[c.now%buckets]++
 }
 
-// Again reports whether a call may be retried, and counts the retry if so. margin is the
+// Allow reports whether a call may be retried, and counts the retry if so. margin is the
 // part of the bound that retries may use, nodes the number of nodes that share the slack.
-func (b *Budget) Again(service string, margin float64, nodes int) bool {
+func (b *Budget) Allow(service string, margin float64, nodes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -33,7 +33,7 @@
 					b.First("ledger")
 					calls[second]++
 
-					if b.Again("ledger", retrybudget.Margin, nodes) {
+					if b.Allow("ledger", retrybudget.Margin, nodes) {
 						retries[second]++
 					}
 				}
@@ -62,8 +62,8 @@
 			b.First("a")
 		}
 
-		assert.Assert(t, b.Again("a", retrybudget.Margin, 1))
+		assert.Assert(t, b.Allow("a", retrybudget.Margin, 1))
 		time.Sleep(11 * time.Second)
-		assert.Assert(t, !b.Again("a", retrybudget.Margin, 1))
+		assert.Assert(t, !b.Allow("a", retrybudget.Margin, 1))
 	})
 }
