--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -139,7 +139,7 @@
 	defer cancel()
 
 	c.service = d.splitter.pick(found, c.service)
-	d.options.Budget.First(c.service)
+	d.options.Budget.CountCall(c.service)
 
 	t := &try{
 		dispatcher: d, ctx: ctx, route: found, outcome: o, target: r.Arrived.Add(min(found.Target-o.Waited, patience)),
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -76,8 +76,8 @@
 	b.bound = next
 }
 
-// First counts a call that a caller sent.
-func (b *Budget) First(service string) {
+// CountCall counts a call that a caller sent.
+func (b *Budget) CountCall(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -30,7 +30,7 @@
 		for second := range seconds {
 			for n, b := range budgets {
 				for range 20 + n { // nodes receive different loads
-					b.First("ledger")
+					b.CountCall("ledger")
 					calls[second]++
 
 					if b.Allow("ledger", retrybudget.Margin, nodes) {
@@ -59,7 +59,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := retrybudget.New(retrybudget.Bound{Ratio: 0.2, Window: 10 * time.Second})
 		for range 100 {
-			b.First("a")
+			b.CountCall("a")
 		}
 
 		assert.Assert(t, b.Allow("a", retrybudget.Margin, 1))
