--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -32,7 +32,7 @@
 //			b.Answered(route, fraction)
 //			return answer, nil
 //		}
-//		if !b.Again(ctx, c, n, err) {
+//		if !b.Allow(ctx, c, n, err) {
 //			return nil, err
 //		}
 //	}
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -15,8 +15,8 @@
 // # Usage
 //
 //	b := retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 58, Window: 10 * time.Second})
-//	b.First("browse")
-//	if b.Again("browse", retrybudget.Margin, nodes) { ... }
+//	b.CountCall("browse")
+//	if b.Allow("browse", retrybudget.Margin, nodes) { ... }
 package retrybudget
 
 import (
