--- a/internal/poison/ask.go
+++ b/internal/poison/ask.go
@@ -52,7 +52,7 @@
 func (w *Watch) Freshen(ctx context.Context, service string) {
 	p := &w.pulls
 
-	if woke := int64(w.stalls.Woke()); p.lastStall.Load() != woke && p.lastStall.Swap(woke) != woke {
+	if stall := int64(w.stalls.LastStall()); p.lastStall.Load() != stall && p.lastStall.Swap(stall) != stall {
 		w.MarkStale()
 	}
 
--- a/internal/poison/mesh_test.go
+++ b/internal/poison/mesh_test.go
@@ -166,7 +166,7 @@
 // stallCounter counts stalls of the gate's process.
 type stallCounter struct{ n atomic.Int64 }
 
-func (s *stallCounter) Woke() time.Duration { return time.Duration(s.n.Load()) }
+func (s *stallCounter) LastStall() time.Duration { return time.Duration(s.n.Load()) }
 
 // considersFailed sets that the gate's node considers another one failed.
 func (g *gate) considersFailed(id string) {
--- a/internal/poison/watch.go
+++ b/internal/poison/watch.go
@@ -37,12 +37,12 @@
 
 // StallDetector reports when this process last stalled.
 type StallDetector interface {
-	Woke() time.Duration
+	LastStall() time.Duration
 }
 
 type neverStalls struct{}
 
-func (neverStalls) Woke() time.Duration { return 0 }
+func (neverStalls) LastStall() time.Duration { return 0 }
 
 // Self identifies the gate that this watch belongs to.
 type Self struct {
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -77,9 +77,9 @@
 	return lastStall != 0 && now-lastStall < int64(Settle)
 }
 
-// Woke returns the end of the last stall as the time since the start of the process, 0 if
+// LastStall returns the end of the last stall as the time since the start of the process, 0 if
 // there was none. A changed value means another stall.
-func (w *Watchdog) Woke() time.Duration {
+func (w *Watchdog) LastStall() time.Duration {
 	w.Resumed()
 
 	return time.Duration(w.lastStall.Load())
