--- a/internal/membership/address.go
+++ b/internal/membership/address.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// move notes that a node's peer address changed; an empty one is none.
-func (t *Table) move(id, from, to string) {
+// updateAddress updates the address index after a node's peer address changed; an empty
+// address means none.
+func (t *Table) updateAddress(id, from, to string) {
 	if from == to {
 		return
 	}
 
 	if from != "" {
-		left := slices.DeleteFunc(t.addresses[from], func(o string) bool { return o == id })
-		t.addresses[from] = left
+		remaining := slices.DeleteFunc(t.addresses[from], func(o string) bool { return o == id })
+		t.addresses[from] = remaining
 
-		if len(left) == 0 {
+		if len(remaining) == 0 {
 			delete(t.addresses, from)
 		}
 	}
@@ -22,8 +23,9 @@
 	}
 }
 
-// At returns the records of the nodes with the peer addresses, also of dead ones.
-func (t *Table) At(addresses []string) []Record {
+// ByAddress returns the records of the nodes with the peer addresses, including dead nodes but
+// not those that left.
+func (t *Table) ByAddress(addresses []string) []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 
@@ -42,12 +44,12 @@
 
 // LiveAt reports whether a live node has the peer address.
 func (t *Table) LiveAt(address string) bool {
-	return slices.ContainsFunc(t.At([]string{address}), Record.Live)
+	return slices.ContainsFunc(t.ByAddress([]string{address}), Record.Live)
 }
 
-// NearAt reports whether a node of the own failure domain has the peer address.
+// NearAt reports whether a node of the local failure domain has the peer address.
 func (t *Table) NearAt(address string) bool {
 	own := t.Self().FailureDomain
 
-	return slices.ContainsFunc(t.At([]string{address}), func(r Record) bool { return r.FailureDomain == own })
+	return slices.ContainsFunc(t.ByAddress([]string{address}), func(r Record) bool { return r.FailureDomain == own })
 }
--- a/internal/membership/changes.go
+++ b/internal/membership/changes.go
@@ -5,91 +5,89 @@
 	"slices"
 )
 
-// changes are the nodes whose records have news that others may not have.
+// changes is the queue of nodes whose records or beliefs are to be sent to other nodes.
 //
-// Each change goes out a bounded number of times: a few times the logarithm of
-// the fleet's size reaches everyone with near certainty, and what it misses the
-// comparison of digests repairs. Without the bound, traffic would grow with the
-// fleet and its churn.
+// Each change is sent a bounded number of times: a few times the logarithm of the number of
+// nodes reaches all of them with high probability, and digest comparison repairs the rest.
+// Without the bound, traffic would grow with the number of nodes and their rate of change.
 type changes struct {
 	pending map[string]*change
-	// fresh are changes that did not go out yet, again those that did, the one
-	// that waits longest first.
-	fresh []*change
-	again []*change
+	// unsent holds changes that have not been sent yet, resend those that have, oldest first.
+	unsent []*change
+	resend []*change
 }
 
 type change struct {
-	id   string
-	sent int
-	done bool
+	id      string
+	sent    int
+	removed bool
 }
 
 func newChanges() changes { return changes{pending: map[string]*change{}} }
 
 func (c *changes) add(id string) {
 	if old := c.pending[id]; old != nil && old.sent == 0 {
-		return // it has not gone out yet, and goes out as it is then
+		return // the queued change reads the current record when it is sent
 	}
 
 	c.remove(id)
 
 	n := &change{id: id}
 	c.pending[id] = n
-	c.fresh = append(c.fresh, n)
+	c.unsent = append(c.unsent, n)
 }
 
 func (c *changes) remove(id string) {
 	if old := c.pending[id]; old != nil {
-		old.done = true
+		old.removed = true
 
 		delete(c.pending, id)
 	}
 }
 
-// transmitFactor times the decimal logarithm of the size is how often a change
-// is sent; with a fan-out of two and answers that carry news as well, twice that
-// many hear it from one node alone.
+// transmitFactor times the decimal logarithm of the number of live nodes is how often a change
+// is sent. With a fan-out of two and replies that carry changes too, one node alone reaches
+// twice as many nodes.
 const transmitFactor = 4
 
-func transmits(live int) int {
+func transmitLimit(live int) int {
 	return transmitFactor * int(math.Ceil(math.Log10(float64(live+1))))
 }
 
-// take returns up to count nodes whose news went out least, counts them as sent
-// once more, and forgets those that went out limit times. Those that the receiver knows
-// stay as they are: an answer with what the question brought would use up the few times
-// that a change goes out, and one node in hundreds would not hear of it.
+// take returns up to count changed nodes, least sent first, increments their send counts and
+// drops those that have been sent limit times. Changes that the receiver already knows are
+// skipped and not counted: echoing them in a reply would use up the limit, and one node in
+// hundreds would miss the change.
 func (c *changes) take(count, limit int, known func(id string) bool) []string {
 	var (
-		ids          []string
-		fresh, again []*change
+		ids            []string
+		unsent, resend []*change
 	)
 
-	for _, queue := range []*[]*change{&c.fresh, &c.again} {
+	for _, queue := range []*[]*change{&c.unsent, &c.resend} {
 		for len(*queue) > 0 && len(ids) < count {
 			n := (*queue)[0]
 			*queue = (*queue)[1:]
 
 			switch {
-			case n.done:
+			case n.removed:
 			case !known(n.id):
 				ids = append(ids, n.id)
 				n.sent++
-				again = append(again, n)
+				resend = append(resend, n)
 			case n.sent == 0:
-				fresh = append(fresh, n)
+				unsent = append(unsent, n)
 			default:
-				again = append(again, n)
+				resend = append(resend, n)
 			}
 		}
 	}
 
-	c.fresh = append(fresh, c.fresh...)
+	c.unsent = append(unsent, c.unsent...)
 
-	for _, n := range again {
+	for _, n := range resend {
 		if n.sent < limit {
-			c.again = append(c.again, n)
+			c.resend = append(c.resend, n)
 		} else {
 			c.remove(n.id)
 		}
@@ -98,10 +96,10 @@
 	return ids
 }
 
-// News takes up to count changes to be sent to a node, without records that it has just
-// sent itself. What is held of that node itself always goes with them, so that it can
-// refute.
-func (t *Table) News(count int, to string, had ...Record) ([]Record, []Belief) {
+// TakeChanges takes up to count changes to send to a node, leaving out records that the node
+// has just sent itself. Beliefs about the receiver are always included, so that it can refute
+// them.
+func (t *Table) TakeChanges(count int, to string, received ...Record) ([]Record, []Belief) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -109,7 +107,7 @@
 
 	beliefs := t.beliefsOf(to)
 
-	for _, id := range t.changes.take(count, transmits(len(t.live.ids)), t.knownTo(had)) {
+	for _, id := range t.changes.take(count, transmitLimit(len(t.live.ids)), t.knownBy(received)) {
 		m := t.members[id]
 		if m == nil || id == to {
 			continue
@@ -124,44 +122,43 @@
 		records = append(records, m.record)
 	}
 
-	if t.elsewhere(to) && !slices.ContainsFunc(records, func(r Record) bool { return r.ID == t.self.ID }) {
+	if t.inOtherDomain(to) && !slices.ContainsFunc(records, func(r Record) bool { return r.ID == t.self.ID }) {
 		records = append(records, t.self)
 	}
 
 	return records, beliefs
 }
 
-// knownTo returns a function that reports whether a node that sent these records knows all
-// that is held here of another one.
-func (t *Table) knownTo(had []Record) func(id string) bool {
+// knownBy returns a function that reports whether the sender of the records has the current
+// record of a node.
+func (t *Table) knownBy(received []Record) func(id string) bool {
 	return func(id string) bool {
 		m := t.members[id]
 
-		return m != nil && slices.ContainsFunc(had, func(r Record) bool { return r.ID == id && r.Compare(m.record) >= 0 })
+		return m != nil && slices.ContainsFunc(received, func(r Record) bool { return r.ID == id && r.Compare(m.record) >= 0 })
 	}
 }
 
-// elsewhere reports whether a node is not one of the own failure domain. Those have no
-// news from here but what few messages bring, so each of these has the own record.
-func (t *Table) elsewhere(id string) bool {
+// inOtherDomain reports whether a node is outside the local failure domain, or unknown. Such
+// nodes receive few messages from this one, so each message includes the local record.
+func (t *Table) inOtherDomain(id string) bool {
 	m := t.members[id]
 
 	return m == nil || m.record.FailureDomain != t.self.FailureDomain
 }
 
-// TakeUntold reports whether the own record changed since the last time that it was
-// asked.
-func (t *Table) TakeUntold() bool {
+// TakeSelfChanged reports whether the local record has changed since the previous call.
+func (t *Table) TakeSelfChanged() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
-	untold := t.untold
-	t.untold = false
+	selfChanged := t.selfChanged
+	t.selfChanged = false
 
-	return untold
+	return selfChanged
 }
 
-// Pending reports whether there are changes to be spread.
+// Pending reports whether there are changes to send.
 func (t *Table) Pending() bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/membership/choose.go
+++ b/internal/membership/choose.go
@@ -6,10 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Chosen reports whether a node is among the first count live nodes of its failure
-// domain, those with most capacity first, in the order of rendezvous hashing. Nodes that
-// disagree on who is live choose too many or too few for a moment; that costs calls to
-// the platform, never correctness.
+// Chosen reports whether a node is among the first count live nodes of its failure domain,
+// ordered by capacity, then by rendezvous hashing. While views of the live nodes differ, too
+// many or too few nodes are chosen; this costs extra calls to the platform, but never
+// correctness.
 func (t *Table) Chosen(id, domain string, count int) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -34,19 +34,19 @@
 	return true
 }
 
-// rank is the node's place among those of its failure domain.
+// rank returns the node's rank within its failure domain.
 func (m *member) rank() rank { return rank{m.record.Capacity, m.weight} }
 
-// FirstOf returns up to count live nodes of a failure domain, those with most
-// capacity first, in the order of rendezvous hashing.
+// FirstOf returns up to count live nodes of a failure domain, ordered by capacity, then by
+// rendezvous hashing.
 func (t *Table) FirstOf(domain string, count int) []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 
-	return t.first(t.liveIn(domain).ids, count, (*member).rank)
+	return t.highestRanked(t.liveIn(domain).ids, count, (*member).rank)
 }
 
-// Domains returns the failure domains that have live nodes, in order.
+// Domains returns the failure domains that have live nodes, sorted.
 func (t *Table) Domains() []string {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -64,7 +64,7 @@
 	return out
 }
 
-// Neighbours returns the other live nodes of the own failure domain, in no order.
+// Neighbours returns the other live nodes of the local failure domain, unordered.
 func (t *Table) Neighbours() []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -81,8 +81,8 @@
 	return out
 }
 
-// Ranked returns up to count live nodes but this one, in the order of rendezvous hashing
-// of a key. Nodes that know the same live nodes choose the same ones.
+// Ranked returns up to count live nodes other than this one, ordered by rendezvous hashing of
+// the key. Nodes with the same view of the live nodes choose the same ones.
 func (t *Table) Ranked(key string, count int) []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -90,7 +90,7 @@
 	return t.rankedOf(&t.live, key, count)
 }
 
-// RankedIn is Ranked among the nodes of this one's failure domain.
+// RankedIn is like Ranked, but restricted to the local failure domain.
 func (t *Table) RankedIn(key string, count int) []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -99,13 +99,13 @@
 }
 
 func (t *Table) rankedOf(set *liveSet, key string, count int) []Record {
-	out := t.first(set.ids, count+1, func(m *member) rank { return rank{weight: weight(key, m.record.ID)} })
+	out := t.highestRanked(set.ids, count+1, func(m *member) rank { return rank{weight: weight(key, m.record.ID)} })
 	out = slices.DeleteFunc(out, func(r Record) bool { return r.ID == t.self.ID })
 
 	return out[:min(count, len(out))]
 }
 
-// rank is by what nodes are ordered, the highest first.
+// rank is the sort key of nodes; the highest rank comes first.
 type rank struct {
 	capacity uint32
 	weight   uint64
@@ -119,10 +119,9 @@
 	return r.weight > o.weight
 }
 
-// first returns the count records of the highest ranks, in their order. It goes over the
-// nodes once: sorted whole, those of a large failure domain cost more than what is asked of
-// the few.
-func (t *Table) first(ids []string, count int, of func(*member) rank) []Record {
+// highestRanked returns the count highest-ranked records in order. It scans the nodes once,
+// because sorting all nodes of a large failure domain costs more than selecting a few.
+func (t *Table) highestRanked(ids []string, count int, of func(*member) rank) []Record {
 	type ranked struct {
 		rank
 		id string
@@ -154,9 +153,9 @@
 	return out
 }
 
-// weight is the order of rendezvous hashing.
+// weight is the rendezvous hash of a key and a node ID.
 func weight(key, id string) uint64 {
-	var buf [128]byte // most keys and IDs together are shorter, and then nothing is allocated
+	var buf [128]byte // fits most keys with an ID, which avoids an allocation
 
 	return xxhash.Sum64(append(append(append(buf[:0], key...), 0), id...))
 }
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -7,34 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// buckets is into how many parts the records are divided for comparison: at
-// 4,300 nodes some 17 records each, so that one record that differs costs a
-// kilobyte of bucket digests and a few hundred bytes of entries, not the table.
-const buckets = 256
+// bucketCount is the number of buckets into which records are divided for comparison. At 4,300
+// nodes a bucket holds some 17 records, so repairing one record costs a kilobyte of bucket
+// digests and a few hundred bytes of entries instead of the whole table.
+const bucketCount = 256
 
-// digest is the sum of what is held of live nodes. Dead and left ones are not in
-// it: each node forgets them at a time of its own, and that is no difference.
+// digest is a hash over the records of live nodes. Dead and left nodes are excluded, because
+// each node forgets them at a different time.
 type digest struct {
-	sums  [buckets]uint64
+	sums  [bucketCount]uint64
 	total uint64
 }
 
 func (d *digest) replace(old, r Record) {
-	d.flip(old)
-	d.flip(r)
+	d.toggle(old)
+	d.toggle(r)
 }
 
-func (d *digest) flip(r Record) {
+func (d *digest) toggle(r Record) {
 	if !r.Live() {
 		return
 	}
 
-	h := hashOf(r)
+	h := recordHash(r)
 	d.sums[bucketOf(r.ID)] ^= h
 	d.total ^= h
 }
 
-func hashOf(r Record) uint64 {
+func recordHash(r Record) uint64 {
 	var buf [24]byte
 
 	binary.BigEndian.PutUint64(buf[:], xxhash.Sum64String(r.ID))
@@ -44,9 +44,10 @@
 	return xxhash.Sum64(buf[:])
 }
 
-func bucketOf(id string) uint8 { return uint8(xxhash.Sum64String(id) % buckets) }
+func bucketOf(id string) uint8 { return uint8(xxhash.Sum64String(id) % bucketCount) }
 
-// Hash is equal on two nodes that hold the same records of live nodes.
+// Hash returns a hash over the records of live nodes; it is equal on two nodes that store the
+// same records.
 func (t *Table) Hash() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -54,15 +55,15 @@
 	return t.digest.total
 }
 
-// sumBytes is the size of a bucket's digest in a message.
+// sumBytes is the size of a bucket digest in a message.
 const sumBytes = 4
 
-// Sums returns the digests of all buckets as they are sent.
+// Sums returns the encoded digests of all buckets.
 func (t *Table) Sums() []byte {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 
-	out := make([]byte, 0, buckets*sumBytes)
+	out := make([]byte, 0, bucketCount*sumBytes)
 	for _, s := range t.digest.sums {
 		out = binary.BigEndian.AppendUint32(out, uint32(s))
 	}
@@ -70,7 +71,8 @@
 	return out
 }
 
-// Entry is the number of a record in the comparison of a bucket.
+// Entry identifies the stored revision of a record during a comparison. Key is the hash of the
+// node ID.
 type Entry struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -80,8 +82,8 @@
 	Live  bool
 }
 
-// Differing returns the buckets whose digests differ from those of another node,
-// with the entries of these buckets; at most limit entries, the rest is for the
+// Differing returns the buckets whose digests differ from those of another node, and the
+// entries of these buckets. It stops at limit entries and leaves the remaining buckets to the
 // next comparison.
 func (t *Table) Differing(sums []byte, limit int) ([]byte, []Entry) {
 	t.mu.RLock()
@@ -89,7 +91,7 @@
 
 	var differ []byte
 
-	for i := range buckets {
+	for i := range bucketCount {
 		theirs := binary.BigEndian.Uint32(sums[i*sumBytes:])
 		if theirs != uint32(t.digest.sums[i]) {
 			differ = append(differ, uint8(i))
@@ -116,7 +118,7 @@
 }
 
 func (t *Table) entries(wanted []byte) map[uint8][]Entry {
-	var in [buckets]bool
+	var in [bucketCount]bool
 
 	for _, b := range wanted {
 		in[b] = true
@@ -134,18 +136,19 @@
 	return out
 }
 
-// Difference is what two nodes hold differently.
+// Difference is the result of comparing the records of two nodes.
 type Difference struct {
-	// Push are records that the other lacks or has older, Want the keys of those
-	// that are lacking or older here.
+	// Push holds records that are missing or older on the other node, Want the keys of records
+	// that are missing or older in this table.
 	Push []Record
 	Want []uint64
-	// Doubt are nodes that are dead here and live there, at the same number:
-	// one of the two is wrong, and only asking tells which.
-	Doubt []string
+	// Disputed holds nodes that are dead in this table and live on the other node at the same
+	// epoch and sequence number; a probe resolves which view is right.
+	Disputed []string
 }
 
-// Compare returns how the table differs from another node's entries.
+// Compare returns the differences between the table and another node's entries of the chosen
+// buckets.
 func (t *Table) Compare(chosen []byte, theirs []Entry) Difference {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -178,7 +181,7 @@
 }
 
 func (d *Difference) add(r Record, key uint64, e Entry, known bool) {
-	c := r.compareWritten(Record{Epoch: e.Epoch, Seq: e.Seq})
+	c := r.compareEpochSeq(Record{Epoch: e.Epoch, Seq: e.Seq})
 
 	switch {
 	case !known:
@@ -190,12 +193,12 @@
 	case c < 0:
 		d.Want = append(d.Want, key)
 	case r.State == StateDead && e.Live:
-		d.Doubt = append(d.Doubt, r.ID)
+		d.Disputed = append(d.Disputed, r.ID)
 	}
 }
 
-// Pick returns the records with the keys.
-func (t *Table) Pick(keys []uint64) []Record {
+// RecordsByKey returns the records with the keys.
+func (t *Table) RecordsByKey(keys []uint64) []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 
--- a/internal/membership/domains_test.go
+++ b/internal/membership/domains_test.go
@@ -16,8 +16,8 @@
 
 func domainOf(i int) string { return fmt.Sprintf("domain-%d", i%domainCount) }
 
-// spread starts count nodes, dealt to failure domains by turns.
-func (n *network) spread(t *testing.T, count int) []*simNode {
+// startInDomains starts count nodes, assigned to failure domains in turn.
+func (n *network) startInDomains(t *testing.T, count int) []*simNode {
 	t.Helper()
 
 	seeds := membership.Seeds(address(nodeID(0)), address(nodeID(1)))
@@ -33,20 +33,21 @@
 	return out
 }
 
-// joined returns nodes that have known each other for a while.
-func joined(t *testing.T, size int) (*network, []*simNode) {
+// joinedNetwork returns a network of nodes that joined and then ran for ten seconds.
+func joinedNetwork(t *testing.T, size int) (*network, []*simNode) {
 	t.Helper()
 
 	n := newNetwork()
-	nodes := n.spread(t, size)
+	nodes := n.startInDomains(t, size)
 	until(t, time.Minute, "join", func() bool { return n.agree(size) })
 	time.Sleep(10 * time.Second)
 
 	return n, nodes
 }
 
-// say changes the state of the node's backend server and tells others, as a node does.
-func (s *simNode) say(ctx context.Context, state membership.UpstreamState) {
+// setUpstreamState changes the state of the node's backend server and sends the change, as a
+// node does.
+func (s *simNode) setUpstreamState(ctx context.Context, state membership.UpstreamState) {
 	s.table.Update(func(r membership.Record) membership.Record {
 		r.Upstream.State = state
 
@@ -55,11 +56,11 @@
 	s.gossip.Tell(ctx)
 }
 
-// knownEverywhere waits until no node sends calls to more than count nodes.
-func knownEverywhere(t *testing.T, nodes []*simNode, count int, limit time.Duration) {
+// waitForServing waits until every node sends calls to at most count nodes.
+func waitForServing(t *testing.T, nodes []*simNode, count int, limit time.Duration) {
 	t.Helper()
 
-	took := until(t, limit, "the leaving is known", func() bool {
+	took := until(t, limit, "the draining node is known", func() bool {
 		for _, s := range nodes {
 			if len(s.table.Serving("browse")) > count {
 				return false
@@ -71,63 +72,62 @@
 	t.Logf("known everywhere after %s", took)
 }
 
-// churn changes a backend server's state every 100 ms, as the replacement of many
-// backend servers does.
+// churn changes the state of a backend server every 100 ms, as a rollout of many backend
+// servers does.
 func churn(ctx context.Context, nodes []*simNode, changes int) {
 	const pause = 100 * time.Millisecond
 
 	states := []membership.UpstreamState{membership.UpstreamDraining, membership.UpstreamReady}
 
 	for i := range changes {
-		nodes[(i/len(states))%len(nodes)].say(ctx, states[i%len(states)])
+		nodes[(i/len(states))%len(nodes)].setUpstreamState(ctx, states[i%len(states)])
 		time.Sleep(pause)
 	}
 }
 
-// Backend servers of a large fleet are replaced all day, so there is always news. If
-// each node sent it to nodes of the whole fleet, five of six messages would cross
-// failure domains, and the bytes between them would grow with the number of nodes:
-// operators would pay for links that carry next to nothing but gossip.
-func TestNewsCrossesFailureDomainsForAFewNodesOnly(t *testing.T) {
+// Guards against gossip traffic between failure domains that grows with the fleet. If each
+// node sent changes to nodes of the whole fleet, five of six messages would cross failure
+// domains, and during steady churn the links between them would carry mostly gossip.
+func TestOnlyAFewNodesSendChangesBetweenFailureDomains(t *testing.T) {
 	const (
 		changes = 40
-		// Each failure domain sends to the others what a few nodes would.
-		mostMessages = 2 * domainCount * changes * 8
+		// Each failure domain sends the others as much as a few nodes would.
+		maxMessages = 2 * domainCount * changes * 8
 	)
 
 	bytes := map[int]int{}
 
 	for _, size := range []int{60, 180} {
 		synctest.Test(t, func(t *testing.T) {
-			n, nodes := joined(t, size)
+			n, nodes := joinedNetwork(t, size)
 			n.resetTraffic()
 			churn(t.Context(), nodes, changes)
 
-			far := n.between()
-			bytes[size] = far.bytes
-			t.Logf("%d nodes: %d messages and %d bytes between failure domains in 4 s", size, far.messages, far.bytes)
-			assert.Assert(t, far.messages <= mostMessages, "%d messages", far.messages)
+			crossDomain := n.crossDomainTraffic()
+			bytes[size] = crossDomain.bytes
+			t.Logf("%d nodes: %d messages and %d bytes between failure domains in 4 s", size, crossDomain.messages, crossDomain.bytes)
+			assert.Assert(t, crossDomain.messages <= maxMessages, "%d messages", crossDomain.messages)
 		})
 	}
 
 	assert.Assert(t, bytes[180] <= 2*bytes[60], "%d bytes with 180 nodes, %d with 60", bytes[180], bytes[60])
 }
 
-// A backend server leaves in one failure domain. Entries in all others must stop
-// sending calls to it within two seconds, though only few nodes pass news on between
-// failure domains.
-func TestAChangeIsInAllFailureDomainsWithinTwoSeconds(t *testing.T) {
+// A backend server drains in one failure domain. Entry nodes in all others must stop sending
+// calls to it within two seconds, although only a few nodes relay changes between failure
+// domains.
+func TestChangeReachesAllFailureDomainsWithinTwoSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 120
 
-		_, nodes := joined(t, size)
+		_, nodes := joinedNetwork(t, size)
 
-		for _, leaving := range []int{7, 50, 99} {
+		for _, draining := range []int{7, 50, 99} {
 			before := len(nodes[0].table.Serving("browse"))
 
-			nodes[leaving].say(t.Context(), membership.UpstreamDraining)
+			nodes[draining].setUpstreamState(t.Context(), membership.UpstreamDraining)
 
-			took := until(t, 2*time.Second, "no entry sends calls to the leaving one", func() bool {
+			took := until(t, 2*time.Second, "no node sends calls to the draining one", func() bool {
 				for _, s := range nodes {
 					if len(s.table.Serving("browse")) != before-1 {
 						return false
@@ -141,14 +141,13 @@
 	})
 }
 
-// Hosts of one failure domain lose power at once, those that passed its news on among
-// them. Callers elsewhere must stop being sent there, and find the hosts again once
-// they are back.
-func TestAFailureDomainDiesAndComesBack(t *testing.T) {
+// All hosts of one failure domain fail at once, including the relays of its changes. Other
+// failure domains must stop sending calls there, and find the hosts again when they return.
+func TestFailedFailureDomainIsDetectedAndRejoins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 60
 
-		n, nodes := joined(t, size)
+		n, nodes := joinedNetwork(t, size)
 
 		dead := 0
 
@@ -160,8 +159,8 @@
 			}
 		}
 
-		took := until(t, 30*time.Second, "the dead are known", func() bool { return n.agree(size - dead) })
-		t.Logf("dead everywhere after %s", took)
+		took := until(t, 30*time.Second, "the failed nodes are known", func() bool { return n.agree(size - dead) })
+		t.Logf("failure known everywhere after %s", took)
 
 		for i := range nodes {
 			if domainOf(i) == domainOf(2) {
@@ -171,36 +170,36 @@
 			}
 		}
 
-		took = until(t, 30*time.Second, "all are back", func() bool { return n.agree(size) })
-		t.Logf("back everywhere after %s", took)
+		took = until(t, 30*time.Second, "all nodes have rejoined", func() bool { return n.agree(size) })
+		t.Logf("rejoined everywhere after %s", took)
 	})
 }
 
-// A failure domain is cut off while a backend server on each side leaves. After the
-// cut heals both sides must know of the other's leaving within seconds, though nobody
-// who saw it tells it any more.
-func TestLeavingsDuringACutAreKnownAfterIt(t *testing.T) {
+// A failure domain is partitioned while a backend server on each side drains. After the
+// partition heals, both sides must learn of the other's change within seconds, although no
+// node gossips these changes any more.
+func TestDrainingDuringPartitionIsKnownAfterHealing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 60
 
-		n, nodes := joined(t, size)
+		n, nodes := joinedNetwork(t, size)
 
-		inside := map[string]bool{}
+		inCutDomain := map[string]bool{}
 		for i := range nodes {
-			inside[address(nodeID(i))] = domainOf(i) == domainOf(4)
+			inCutDomain[address(nodeID(i))] = domainOf(i) == domainOf(4)
 		}
 
-		n.set(func() { n.cut = func(from, to string) bool { return inside[from] != inside[to] } })
+		n.set(func() { n.cut = func(from, to string) bool { return inCutDomain[from] != inCutDomain[to] } })
 		time.Sleep(time.Minute)
 
-		for _, leaving := range []int{4, 5} {
-			nodes[leaving].say(t.Context(), membership.UpstreamDraining)
+		for _, draining := range []int{4, 5} {
+			nodes[draining].setUpstreamState(t.Context(), membership.UpstreamDraining)
 		}
 
 		time.Sleep(10 * time.Second)
 		n.set(func() { n.cut = func(string, string) bool { return false } })
 
-		took := until(t, 30*time.Second, "both leavings are known", func() bool {
+		took := until(t, 30*time.Second, "both draining nodes are known", func() bool {
 			for _, s := range nodes {
 				if s.table.CountLive() != size || len(s.table.Serving("browse")) != size-2 {
 					return false
@@ -213,45 +212,47 @@
 	})
 }
 
-// The link between a node and its own failure domain is cut, in both directions, and
-// others reach both. Its entry must hear of backend servers that leave, in its failure
-// domain and elsewhere, and its own leaving has to be known there: news that comes by
-// neighbours alone would never arrive.
-func TestANodeThatReachesOtherFailureDomainsOnly(t *testing.T) {
+// The links between a node and its own failure domain are cut in both directions; other
+// failure domains reach both. The node must learn of draining backend servers in all failure
+// domains, and its own draining must become known. Changes that spread only within the failure
+// domain would not arrive.
+func TestNodeCutOffFromItsFailureDomainStillExchangesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const size, lonely = 36, 7
+		const size, isolated = 36, 7
 
-		n, nodes := joined(t, size)
+		n, nodes := joinedNetwork(t, size)
 
-		beside := map[string]bool{}
+		neighbours := map[string]bool{}
 		for i := range nodes {
-			beside[address(nodeID(i))] = i != lonely && domainOf(i) == domainOf(lonely)
+			neighbours[address(nodeID(i))] = i != isolated && domainOf(i) == domainOf(isolated)
 		}
 
-		alone := address(nodeID(lonely))
+		isolatedAddress := address(nodeID(isolated))
 		n.set(func() {
-			n.cut = func(from, to string) bool { return (from == alone && beside[to]) || (to == alone && beside[from]) }
+			n.cut = func(from, to string) bool {
+				return (from == isolatedAddress && neighbours[to]) || (to == isolatedAddress && neighbours[from])
+			}
 		})
 		time.Sleep(30 * time.Second)
 
-		for gone, leaving := range []int{lonely + domainCount, lonely + 1, lonely} {
-			nodes[leaving].say(t.Context(), membership.UpstreamDraining)
+		for drained, draining := range []int{isolated + domainCount, isolated + 1, isolated} {
+			nodes[draining].setUpstreamState(t.Context(), membership.UpstreamDraining)
 
-			knownEverywhere(t, nodes, size-gone-1, 10*time.Second)
+			waitForServing(t, nodes, size-drained-1, 10*time.Second)
 		}
 
 		assert.Assert(t, n.agree(size))
 	})
 }
 
-// What one failure domain sends to another is lost, the other way and all third ones work.
-// A backend server that leaves in the first must be known in the second, over others; and
-// nobody may be taken for dead, since each node is reached by somebody.
-func TestAOneWayCutBetweenTwoFailureDomains(t *testing.T) {
+// Messages from one failure domain to another are lost; the opposite direction and all other
+// links work. A backend server that drains in the first must become known in the second
+// through other nodes, and no node may be marked dead.
+func TestChangesBypassOneWayCutBetweenFailureDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 36
 
-		n, nodes := joined(t, size)
+		n, nodes := joinedNetwork(t, size)
 
 		in := map[string]string{}
 		for i := range nodes {
@@ -263,10 +264,10 @@
 		})
 		time.Sleep(30 * time.Second)
 
-		for count, leaving := range []int{0, 6, 1} {
-			nodes[leaving].say(t.Context(), membership.UpstreamDraining)
+		for count, draining := range []int{0, 6, 1} {
+			nodes[draining].setUpstreamState(t.Context(), membership.UpstreamDraining)
 
-			knownEverywhere(t, nodes, size-count-1, 10*time.Second)
+			waitForServing(t, nodes, size-count-1, 10*time.Second)
 		}
 
 		assert.Assert(t, n.agree(size))
--- a/internal/membership/epoch_test.go
+++ b/internal/membership/epoch_test.go
@@ -13,8 +13,8 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// earlier is an exchange as nodes wrote it that know of no epoch.
-type earlier struct {
+// oldExchange is the message format without the store epoch.
+type oldExchange struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	From    string
@@ -25,38 +25,38 @@
 	Beliefs []membership.Belief
 }
 
-func withEpoch(e *epoch.Current) *membership.Gossip {
+func gossipWithEpochs(e *epoch.Current) *membership.Gossip {
 	table := membership.NewTable(membership.Record{ID: "a", PeerAddress: "10.0.0.1:1"}, timeline.New(timeline.Node("a")))
 
 	return membership.NewGossip(table, nil, membership.WithEpochs(e))
 }
 
-func TestANodeThatDoesNotAskTheStoreHearsOfItsEpoch(t *testing.T) {
+func TestNodeLearnsStoreEpochFromPeers(t *testing.T) {
 	e := epoch.New()
 	e.Observe(3)
 
 	changed := e.Changed()
 
-	answer, err := withEpoch(e).Serve(t.Context(), membership.Exchange{From: "b", Address: "10.0.0.2:1", StoreEpoch: 4})
+	answer, err := gossipWithEpochs(e).Serve(t.Context(), membership.Exchange{From: "b", Address: "10.0.0.2:1", StoreEpoch: 4})
 	assert.NilError(t, err)
 	assert.Equal(t, answer.StoreEpoch, uint64(4))
 
 	<-changed
 }
 
-func TestANodeThatKnowsNoEpochOrAnOlderOneChangesNothing(t *testing.T) {
+func TestMissingOrOlderStoreEpochIsIgnored(t *testing.T) {
 	e := epoch.New()
-	g := withEpoch(e)
+	g := gossipWithEpochs(e)
 
-	for _, heard := range []uint64{0, 3, 0, 2} {
+	for _, received := range []uint64{0, 3, 0, 2} {
 		changed := e.Changed()
-		answer, err := g.Serve(t.Context(), membership.Exchange{From: "b", Address: "10.0.0.2:1", StoreEpoch: heard})
+		answer, err := g.Serve(t.Context(), membership.Exchange{From: "b", Address: "10.0.0.2:1", StoreEpoch: received})
 		assert.NilError(t, err)
 		assert.Equal(t, answer.StoreEpoch, e.Number())
 
 		select {
 		case <-changed:
-			t.Errorf("taken for a change: %d", heard)
+			t.Errorf("epoch %d counted as a change", received)
 		default:
 		}
 	}
@@ -64,8 +64,8 @@
 	assert.Equal(t, e.Number(), uint64(3))
 }
 
-func TestMessagesWithAndWithoutAnEpochAreReadByBoth(t *testing.T) {
-	old := earlier{From: "a", Address: "10.0.0.1:1", Hash: 1, Version: 2}
+func TestExchangeFormatsWithAndWithoutEpochAreCompatible(t *testing.T) {
+	old := oldExchange{From: "a", Address: "10.0.0.1:1", Hash: 1, Version: 2}
 
 	data, err := msgpack.Marshal(old)
 	assert.NilError(t, err)
@@ -82,20 +82,20 @@
 		data, err = msgpack.Marshal(now)
 		assert.NilError(t, err)
 
-		var before earlier
+		var decodedOld oldExchange
 
-		assert.NilError(t, peer.Decode(data, &before))
-		assert.DeepEqual(t, before.Version, old.Version)
+		assert.NilError(t, peer.Decode(data, &decodedOld))
+		assert.DeepEqual(t, decodedOld.Version, old.Version)
 
-		var again membership.Exchange
+		var decoded membership.Exchange
 
-		assert.NilError(t, peer.Decode(data, &again))
-		assert.Equal(t, again.StoreEpoch, number)
+		assert.NilError(t, peer.Decode(data, &decoded))
+		assert.Equal(t, decoded.StoreEpoch, number)
 	}
 }
 
-func TestAnEpochAddsFewBytes(t *testing.T) {
-	without, err := msgpack.Marshal(earlier{From: "a", Address: "10.0.0.1:1"})
+func TestStoreEpochAddsAtMostOneByte(t *testing.T) {
+	without, err := msgpack.Marshal(oldExchange{From: "a", Address: "10.0.0.1:1"})
 	assert.NilError(t, err)
 
 	with, err := msgpack.Marshal(membership.Exchange{From: "a", Address: "10.0.0.1:1", StoreEpoch: 127})
@@ -103,8 +103,8 @@
 	assert.Assert(t, len(with)-len(without) <= 1, "%d bytes, %d without", len(with), len(without))
 }
 
-func TestAnEpochThatIsNoNumberIsRefused(t *testing.T) {
-	data, err := msgpack.Marshal(earlier{From: "a", Address: "10.0.0.1:1"})
+func TestStoreEpochThatIsNotANumberIsRejected(t *testing.T) {
+	data, err := msgpack.Marshal(oldExchange{From: "a", Address: "10.0.0.1:1"})
 	assert.NilError(t, err)
 
 	var e membership.Exchange
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -11,47 +11,47 @@
 	"github.com/pollencart/pollencart/internal/peer"
 )
 
-// Caller sends a message to a peer.
-type Caller interface {
+// PeerClient sends a request to a peer.
+type PeerClient interface {
 	Do(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error
 }
 
-// Gossip spreads records and notices nodes that do not answer.
+// Gossip distributes member records and detects failed nodes.
 type Gossip struct {
 	table   *Table
-	peers   Caller
+	peers   PeerClient
 	options Options
 
-	// serving bounds how many comparisons are answered at the same time, so that
-	// a herd that starts together does not take the node's memory.
-	serving    chan struct{}
-	differs    atomic.Pointer[string] // address of the last node whose digest differed
-	compareNow chan struct{}
-	doubts     doubts // addresses that calls could not reach
-	// disputes are IDs of nodes that are dead here and live elsewhere.
-	disputes doubts
-	health   health
-	alone    int // tries to join so far; only join uses it
+	// comparing limits the comparisons served concurrently, which bounds memory when many
+	// nodes start at once.
+	comparing      chan struct{}
+	compareAddress atomic.Pointer[string] // peer address of the latest node whose digest differed
+	compareNow     chan struct{}
+	probeQueue     probeQueue // addresses that calls could not reach
+	// disputed holds IDs of nodes that are dead in this table and live on another node.
+	disputed     probeQueue
+	health       health
+	joinAttempts int // failed attempts to join; used by join only
 }
 
-// maxServing is how many comparisons a node answers at the same time.
-const maxServing = 8
+// maxComparisons is the maximum number of comparisons that a node serves concurrently.
+const maxComparisons = 8
 
-// NewGossip returns a gossip over the table.
-func NewGossip(t *Table, c Caller, opts ...Option) *Gossip {
+// NewGossip returns a Gossip over the table.
+func NewGossip(t *Table, c PeerClient, opts ...Option) *Gossip {
 	return &Gossip{
 		table: t, peers: c, options: newOptions(opts...),
-		serving:    make(chan struct{}, maxServing),
+		comparing:  make(chan struct{}, maxComparisons),
 		compareNow: make(chan struct{}, 1),
-		doubts:     newDoubts(), disputes: newDoubts(),
+		probeQueue: newProbeQueue(), disputed: newProbeQueue(),
 	}
 }
 
-// Run gossips until ctx ends.
+// Run runs the gossip protocol until ctx ends.
 func (g *Gossip) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 
-	wg.Go(func() { g.rounds(ctx) })
+	wg.Go(func() { g.runRounds(ctx) })
 	wg.Go(func() {
 		for ctx.Err() == nil {
 			g.compare(ctx)
@@ -72,8 +72,8 @@
 	wg.Wait()
 }
 
-// every runs a step until ctx ends. Jitter keeps nodes that started together
-// from talking in step.
+// every runs a step repeatedly until ctx ends. Jitter prevents nodes that started together
+// from sending in lockstep.
 func every(ctx context.Context, pause time.Duration, step func(context.Context)) {
 	for ctx.Err() == nil {
 		step(ctx)
@@ -84,19 +84,19 @@
 
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-// idlePause is the pause between rounds without news.
+// idlePause is the maximum wait for changes between rounds.
 const idlePause = 500 * time.Millisecond
 
-// rounds does a round a few times a second while there is news, and seldom
-// otherwise, so that a quiet fleet costs its hosts next to nothing.
-func (g *Gossip) rounds(ctx context.Context) {
+// runRounds runs several rounds a second while there are changes to send, and few otherwise,
+// so that an idle fleet causes little load.
+func (g *Gossip) runRounds(ctx context.Context) {
 	for ctx.Err() == nil {
 		g.round(ctx)
 
 		if !g.table.Pending() {
 			select {
 			case <-ctx.Done():
-			case <-g.table.news:
+			case <-g.table.changed:
 			case <-time.After(idlePause):
 			}
 		}
@@ -105,57 +105,58 @@
 	}
 }
 
-// round spreads news, and does what time demands.
+// round applies timeouts, starts queued probes and sends pending changes.
 func (g *Gossip) round(ctx context.Context) {
-	if gap := g.health.pulse(); gap > 0 {
-		g.table.Restart(gap)
+	if gap := g.health.recordRound(); gap > 0 {
+		g.table.RestartTimeouts(gap)
 	}
 
 	g.table.Expire(g.options.Suspicion)
-	g.examine(ctx)
+	g.runQueuedProbes(ctx)
 
 	if g.table.Pending() {
 		g.Tell(ctx)
 	}
 }
 
-// Tell sends news to some nodes of the own failure domain at once. A change of the own
-// record goes to one node of each other failure domain, and now and then other news to one
-// of them.
+// Tell sends pending changes to a few nodes of the local failure domain. A change of the
+// local record also goes to one node of each other failure domain; other changes go to one
+// of these nodes now and then.
 //
-// Sent to nodes of the whole fleet, most news would cross failure domains, again and
-// again, by as many nodes as there are. A change is brought across by the node that it
-// is about; what others pass on makes up for what that one could not reach. Who does is
-// drawn anew in each round, so that no node is needed for it.
+// If changes went to nodes of the whole fleet, most would cross failure domains, many times
+// each. Instead, the node that a change is about sends it across, and random relays make up
+// for nodes that it could not reach. Relays are sampled anew in each round, so that no
+// single node is required.
 func (g *Gossip) Tell(ctx context.Context) {
-	far := g.table.Elsewhere()
-	if len(far) > 0 && !g.table.TakeUntold() {
-		far = g.relayed(far)
+	otherDomains := g.table.Elsewhere()
+	if len(otherDomains) > 0 && !g.table.TakeSelfChanged() {
+		otherDomains = g.relayTarget(otherDomains)
 	}
 
-	for _, target := range append(g.table.Near(g.options.Fanout), far...) {
+	for _, target := range append(g.table.RandomNear(g.options.Fanout), otherDomains...) {
 		go func() { _ = g.exchange(ctx, target) }()
 	}
 }
 
-// relayed returns one of the nodes, or none if it is not this node's turn to talk to
-// other failure domains.
-func (g *Gossip) relayed(far []Record) []Record {
-	if !g.drawn() {
+// relayTarget returns one random node of the given ones, or none if this node is not a relay
+// in this round.
+func (g *Gossip) relayTarget(otherDomains []Record) []Record {
+	if !g.isRelay() {
 		return nil
 	}
 
-	return anyOf(far)
+	return randomOne(otherDomains)
 }
 
-// relays is how many nodes of a failure domain talk to others in a round.
-const relays = 2
+// relaysPerRound is the expected number of nodes per failure domain that relay changes to
+// other failure domains in a round.
+const relaysPerRound = 2
 
-// drawn reports by lot whether this node is one of the relays now.
-func (g *Gossip) drawn() bool { return rand.IntN(max(g.table.CountNear(), 1)) < relays }
+// isRelay randomly decides whether this node acts as a relay.
+func (g *Gossip) isRelay() bool { return rand.IntN(max(g.table.CountNear(), 1)) < relaysPerRound }
 
-// anyOf returns one of the records, if there is one.
-func anyOf(records []Record) []Record {
+// randomOne returns a slice with one random record, or nil if there are none.
+func randomOne(records []Record) []Record {
 	if len(records) == 0 {
 		return nil
 	}
@@ -165,26 +166,26 @@
 	return records[i : i+1]
 }
 
-// Leave tells some live nodes that this one leaves, and returns when they know.
-// The process ends after it, so nobody would pass the news on later.
+// Leave marks this node as left, sends this to some live nodes and waits for their replies. It
+// is synchronous because the process exits afterwards.
 func (g *Gossip) Leave(ctx context.Context) {
 	g.table.Update(func(r Record) Record { return r.WithState(StateLeft) })
 
 	var wg sync.WaitGroup
 
-	for _, target := range append(g.table.Near(g.options.Fanout), g.table.Elsewhere()...) {
+	for _, target := range append(g.table.RandomNear(g.options.Fanout), g.table.Elsewhere()...) {
 		wg.Go(func() { _ = g.exchange(ctx, target) })
 	}
 
 	wg.Wait()
 }
 
-// exchange probes a node and trades news with it.
+// exchange probes a node and exchanges changes with it.
 func (g *Gossip) exchange(ctx context.Context, target Record) error {
-	ctx, cancel := context.WithTimeout(ctx, g.health.stretch(g.options.Timeout))
+	ctx, cancel := context.WithTimeout(ctx, g.health.scaleTimeout(g.options.Timeout))
 	defer cancel()
 
-	reply, err := g.talk(ctx, target.ID, target.PeerAddress)
+	reply, err := g.sendExchange(ctx, target.ID, target.PeerAddress)
 	if err != nil {
 		return err
 	}
@@ -196,22 +197,23 @@
 	return nil
 }
 
-func (g *Gossip) talk(ctx context.Context, id, address string) (Exchange, error) {
+func (g *Gossip) sendExchange(ctx context.Context, id, address string) (Exchange, error) {
 	var reply Exchange
-	if err := g.peers.Do(ctx, address, peer.LaneControl, MethodExchange, g.message(id, nil), &reply); err != nil {
+	if err := g.peers.Do(ctx, address, peer.LaneControl, MethodExchange, g.newExchange(id, nil), &reply); err != nil {
 		return reply, err
 	}
 
-	g.hear(reply)
+	g.receive(reply)
 	g.options.Hear(context.WithoutCancel(ctx), reply.Address, reply.Version)
 
 	return reply, nil
 }
 
-// message is what a node is sent, which has just sent these records itself.
-func (g *Gossip) message(to string, had []Record) Exchange {
+// newExchange returns the next message to a node, without the records that were just received
+// from that node.
+func (g *Gossip) newExchange(to string, received []Record) Exchange {
 	self := g.table.Self()
-	records, beliefs := g.table.News(maxNews, to, had...)
+	records, beliefs := g.table.TakeChanges(maxChanges, to, received...)
 
 	return Exchange{
 		From: self.ID, Address: self.PeerAddress, Hash: g.table.Hash(), Version: g.options.Version(),
@@ -219,22 +221,22 @@
 	}
 }
 
-func (g *Gossip) hear(e Exchange) {
+func (g *Gossip) receive(e Exchange) {
 	g.table.MergeFrom(e.From, e.Records)
-	g.table.Believe(e.Beliefs)
+	g.table.MergeBeliefs(e.Beliefs)
 
 	if e.StoreEpoch != 0 {
 		g.options.Epochs.Observe(e.StoreEpoch)
 	}
 
-	if e.Hash != g.table.Hash() && g.repairsWith(e.From) {
-		g.compareWith(e.Address)
+	if e.Hash != g.table.Hash() && g.shouldCompare(e.From) {
+		g.scheduleCompare(e.Address)
 	}
 }
 
-// compareWith has the digests compared with those of the node at an address soon.
-func (g *Gossip) compareWith(address string) {
-	g.differs.Store(&address)
+// scheduleCompare requests a digest comparison with the node at an address.
+func (g *Gossip) scheduleCompare(address string) {
+	g.compareAddress.Store(&address)
 
 	select {
 	case g.compareNow <- struct{}{}:
@@ -242,23 +244,24 @@
 	}
 }
 
-// repairsWith reports whether a difference with a node is worth a comparison now. Those
-// with nodes of other failure domains are made by a few at a time: what they bring is
-// then compared at home.
-func (g *Gossip) repairsWith(id string) bool {
+// shouldCompare reports whether a digest difference with a node triggers a comparison. Only
+// relays compare with nodes of other failure domains; the results then spread by comparisons
+// within the local failure domain.
+func (g *Gossip) shouldCompare(id string) bool {
 	r, known := g.table.Find(id)
 
-	return !known || r.FailureDomain == g.table.Self().FailureDomain || g.drawn()
+	return !known || r.FailureDomain == g.table.Self().FailureDomain || g.isRelay()
 }
 
-// Serve answers a probe.
+// Serve answers an exchange.
 func (g *Gossip) Serve(ctx context.Context, in Exchange) (Exchange, error) {
-	g.hear(in)
+	g.receive(in)
 
-	// Hear may wait, and the answer must not; most messages bring no newer version.
+	// The handler may block, and the reply must not wait for it. Most messages carry no newer
+	// version.
 	if in.Version > g.options.Version() {
 		go g.options.Hear(context.WithoutCancel(ctx), in.Address, in.Version)
 	}
 
-	return g.message(in.From, in.Records), nil
+	return g.newExchange(in.From, in.Records), nil
 }
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -13,14 +13,14 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Traffic that grew with the fleet would take the hosts' processor time and
-// links at 4,300 nodes. Idle, a node sends one probe and answers one, whatever
-// the size.
+// Guards against idle traffic that grows with the fleet; at 4,300 nodes it would use up
+// processor time and bandwidth. An idle node sends and answers one probe per second at any
+// fleet size.
 func TestIdleTrafficDoesNotGrowWithTheFleet(t *testing.T) {
 	const (
-		seconds      = 10
-		mostMessages = 4 * seconds // one probe, one answer, with room for chance
-		mostBytes    = 400 * seconds
+		seconds     = 10
+		maxMessages = 4 * seconds // one probe, one answer, with a margin for randomness
+		maxBytes    = 400 * seconds
 	)
 
 	for _, size := range []int{50, 100, 200} {
@@ -33,18 +33,18 @@
 			n.resetTraffic()
 			time.Sleep(seconds * time.Second)
 
-			m := n.most()
+			m := n.busiest()
 			t.Logf("%d nodes: joined after %s; busiest node idle: %d messages, %d bytes in %d s",
 				size, joined, m.messages, m.bytes, seconds)
-			assert.Assert(t, m.messages <= mostMessages, "%d messages", m.messages)
-			assert.Assert(t, m.bytes <= mostBytes, "%d bytes", m.bytes)
+			assert.Assert(t, m.messages <= maxMessages, "%d messages", m.messages)
+			assert.Assert(t, m.bytes <= maxBytes, "%d bytes", m.bytes)
 		})
 	}
 }
 
-// A backend server that leaves must get no new request after two seconds
-// anywhere; every entry has to hear of it by then.
-func TestAChangeIsWithEveryNodeWithinTwoSeconds(t *testing.T) {
+// A draining backend server must get no new request after two seconds, so every entry node has
+// to learn of it by then.
+func TestChangeReachesEveryNodeWithinTwoSeconds(t *testing.T) {
 	for _, size := range []int{50, 200} {
 		synctest.Test(t, func(t *testing.T) {
 			n := newNetwork()
@@ -59,7 +59,7 @@
 				return r
 			})
 
-			took := until(t, 2*time.Second, "no entry sends calls to the leaving one", func() bool {
+			took := until(t, 2*time.Second, "no node sends calls to the draining one", func() bool {
 				for _, s := range nodes {
 					if len(s.table.Serving("browse")) != size-1 {
 						return false
@@ -71,16 +71,16 @@
 
 			time.Sleep(10 * time.Second)
 
-			m := n.most()
+			m := n.busiest()
 			t.Logf("%d nodes: known everywhere after %s; busiest node: %d messages, %d bytes in 10 s", size, took, m.messages, m.bytes)
 			assert.Assert(t, m.bytes < 20_000, "%d bytes", m.bytes)
 		})
 	}
 }
 
-// A third of all hosts loses power at once and comes back. Calls must not go on
-// being sent to the dead, and nobody may be needed to bring the fleet together.
-func TestAThirdDiesAtOnceAndComesBack(t *testing.T) {
+// A third of all hosts loses power at once and comes back. Entry nodes must stop sending calls
+// to the dead nodes, and the fleet must rejoin without intervention.
+func TestFailureOfAThirdOfTheFleetIsDetectedAndRejoins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, dead = 60, 20
 
@@ -95,53 +95,53 @@
 			n.kill(nodeID(i))
 		}
 
-		took := until(t, 30*time.Second, "the dead are known", func() bool { return n.agree(size - dead) })
-		t.Logf("%d of %d dead: known everywhere after %s", dead, size, took)
+		took := until(t, 30*time.Second, "the failed nodes are known", func() bool { return n.agree(size - dead) })
+		t.Logf("%d of %d failed: known everywhere after %s", dead, size, took)
 
 		for i := range dead {
 			n.start(t, nodeID(i), uint64(1000+i), membership.Seeds(address(nodeID(0)), address(nodeID(size-1))))
 		}
 
-		took = until(t, 30*time.Second, "all are back", func() bool { return n.agree(size) })
+		took = until(t, 30*time.Second, "all nodes have rejoined", func() bool { return n.agree(size) })
 		time.Sleep(10 * time.Second)
 
-		m := n.most()
-		t.Logf("back: known everywhere after %s; busiest node from the death to 10 s after: %d messages, %d bytes",
+		m := n.busiest()
+		t.Logf("rejoined: known everywhere after %s; busiest node from the failure to 10 s after: %d messages, %d bytes",
 			took, m.messages, m.bytes)
 		assert.Assert(t, m.bytes < 400_000, "%d bytes", m.bytes)
 	})
 }
 
-// A host stands still for a minute, as a virtual machine that is moved does, and
-// goes on. Awake, it must not take the others for dead by timers that ran out
-// while it slept, and the others must take it back.
-func TestFrozenNodeIsTakenForDeadAndComesBack(t *testing.T) {
+// A host stalls for a minute, as during a live migration of a virtual machine, and resumes. It
+// must not mark other nodes dead by timeouts that elapsed during the stall, and the other
+// nodes must accept it as alive again.
+func TestStalledNodeIsMarkedDeadAndRejoins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 30
 
 		n := newNetwork()
 		nodes := n.fleet(t, size)
 		until(t, time.Minute, "join", func() bool { return n.agree(size) })
-		n.set(func() { n.frozen[address(nodeID(5))] = true })
+		n.set(func() { n.stalled[address(nodeID(5))] = true })
 
-		took := until(t, 20*time.Second, "the frozen one is taken for dead", func() bool {
+		took := until(t, 20*time.Second, "the stalled node is marked dead", func() bool {
 			r, _ := nodes[9].table.Find(nodeID(5))
 
 			return r.State == membership.StateDead
 		})
-		t.Logf("taken for dead after %s", took)
+		t.Logf("marked dead after %s", took)
 		time.Sleep(time.Minute)
-		n.set(func() { n.frozen[address(nodeID(5))] = false })
+		n.set(func() { n.stalled[address(nodeID(5))] = false })
 
-		took = until(t, 30*time.Second, "all are taken back", func() bool { return n.agree(size) })
-		t.Logf("taken back everywhere after %s", took)
+		took = until(t, 30*time.Second, "all nodes are live again", func() bool { return n.agree(size) })
+		t.Logf("live everywhere after %s", took)
 	})
 }
 
-// Two failure domains lose each other for long, and each serves what it can.
-// When the cut heals, neither side may talk the other into holding its own
-// healthy nodes for dead: a few may be suspected for a moment, until they refute.
-func TestCutBetweenDomainsHealsWithoutHarmInside(t *testing.T) {
+// Two halves of the fleet are partitioned, each serving from its own nodes. When the partition
+// heals, neither side may make the other mark healthy nodes dead; a few may be suspected until
+// they refute.
+func TestHealedPartitionDoesNotRemoveHealthyNodes(t *testing.T) {
 	for _, cutFor := range []time.Duration{8 * time.Second, 3 * time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
 			const size = 40
@@ -151,34 +151,34 @@
 			until(t, time.Minute, "join", func() bool { return n.agree(size) })
 			time.Sleep(10 * time.Second)
 
-			left := func(a string) bool { return a < address(nodeID(size/2)) }
-			n.set(func() { n.cut = func(from, to string) bool { return left(from) != left(to) } })
+			inLeftHalf := func(a string) bool { return a < address(nodeID(size/2)) }
+			n.set(func() { n.cut = func(from, to string) bool { return inLeftHalf(from) != inLeftHalf(to) } })
 			time.Sleep(cutFor)
 
 			if cutFor > time.Minute {
-				assert.Assert(t, n.agree(size/2), "each side holds its own half")
+				assert.Assert(t, n.agree(size/2), "each side does not consider exactly its own half live")
 			}
 
 			n.set(func() { n.cut = func(string, string) bool { return false } })
 
 			lowest := size
 
-			took := until(t, time.Minute, "whole again", func() bool {
+			took := until(t, time.Minute, "all nodes are live again", func() bool {
 				for _, s := range nodes {
 					lowest = min(lowest, len(s.table.Serving("browse")))
 				}
 
 				return n.agree(size) && len(nodes[0].table.Serving("browse")) == size
 			})
-			t.Logf("cut for %s: whole after %s, at the least %d of %d served on the way", cutFor, took, lowest, size)
-			assert.Assert(t, lowest >= size/2-size/10, "a node was left with %d", lowest)
+			t.Logf("partition of %s: healed after %s, at least %d of %d nodes served meanwhile", cutFor, took, lowest, size)
+			assert.Assert(t, lowest >= size/2-size/10, "a node had only %d serving nodes", lowest)
 		})
 	}
 }
 
-// One node can send to another but gets nothing back, while all others reach
-// both. Whoever looks from one side only would take a healthy node for dead.
-func TestOneWayCutCostsNoHealthyNode(t *testing.T) {
+// One node can send to another but gets no replies, while all other nodes reach both. A
+// failure detector that relies on a single observer would mark a healthy node dead.
+func TestOneWayCutDoesNotRemoveHealthyNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 20
 
@@ -199,10 +199,9 @@
 	})
 }
 
-// A host's clock is set back and the process starts again. Its record must win
-// over the one that its earlier life left in the fleet, or calls go on being
-// sent to an address that is gone.
-func TestRestartWithAClockSetBackWinsOverItsOldRecord(t *testing.T) {
+// A host's clock is set back and the process restarts. Its record must override the one of its
+// earlier process, or calls would be sent to an address that is no longer in use.
+func TestRestartWithClockSetBackOverridesOldRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 10
 
@@ -215,7 +214,7 @@
 
 		r := record("back", 4000)
 		r.Upstream.Service = "ledger"
-		again := n.startAs(t, r, membership.Seeds(address(nodeID(0))))
+		restarted := n.startAs(t, r, membership.Seeds(address(nodeID(0))))
 
 		took := until(t, 10*time.Second, "the new record is everywhere", func() bool {
 			for _, s := range nodes {
@@ -226,14 +225,14 @@
 
 			return true
 		})
-		t.Logf("won after %s", took)
-		assert.Equal(t, again.table.Self().Incarnation, uint64(4000))
+		t.Logf("overridden after %s", took)
+		assert.Equal(t, restarted.table.Self().Incarnation, uint64(4000))
 	})
 }
 
-// A host is frozen, its node is replaced on another host under the same ID, and the
-// first one wakes. Entries must not send calls now to the one and now to the other.
-func TestAWokenNodeGivesWayToItsReplacement(t *testing.T) {
+// A host stalls, its node is replaced on another host under the same ID, and the first process
+// resumes. Calls must not alternate between the two.
+func TestResumedNodeYieldsToItsReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 10
 
@@ -241,7 +240,7 @@
 		nodes := n.fleet(t, size)
 		first := n.start(t, "twin", 5000, membership.Seeds(address(nodeID(0))))
 		until(t, time.Minute, "join", func() bool { return n.agree(size + 1) })
-		n.set(func() { n.frozen[address("twin")] = true })
+		n.set(func() { n.stalled[address("twin")] = true })
 		until(t, 20*time.Second, "dead", func() bool { return stateOf(nodes[0].table, "twin") == membership.StateDead })
 
 		r := record("twin", 6000)
@@ -254,14 +253,14 @@
 				return r.Incarnation != 6000 || r.State != membership.StateAlive
 			})
 		})
-		n.set(func() { n.frozen[address("twin")] = false })
+		n.set(func() { n.stalled[address("twin")] = false })
 
 		for range 300 {
 			time.Sleep(100 * time.Millisecond)
 
 			for _, s := range nodes {
 				r, _ := s.table.Find("twin")
-				assert.Assert(t, r.Incarnation == 6000, "taken back")
+				assert.Assert(t, r.Incarnation == 6000, "the stalled process took the ID back")
 			}
 		}
 
@@ -269,9 +268,9 @@
 	})
 }
 
-// A process that flaps must not be held for live by an old record, nor for dead
-// by an old belief, whatever order they arrive in.
-func TestFlappingNodeEndsInItsLastState(t *testing.T) {
+// A process restarts repeatedly. Old records must not keep it alive, and old beliefs must not
+// keep it dead, in whatever order they arrive.
+func TestFlappingNodeEndsInItsLatestState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 12
 
@@ -279,20 +278,20 @@
 		n.fleet(t, size)
 		until(t, time.Minute, "join", func() bool { return n.agree(size) })
 
-		for life := range 8 {
+		for restart := range 8 {
 			n.kill(nodeID(4))
-			time.Sleep(time.Duration(life) * 900 * time.Millisecond)
-			n.start(t, nodeID(4), uint64(100+life), membership.Seeds(address(nodeID(0))))
-			time.Sleep(time.Duration(8-life) * 700 * time.Millisecond)
+			time.Sleep(time.Duration(restart) * 900 * time.Millisecond)
+			n.start(t, nodeID(4), uint64(100+restart), membership.Seeds(address(nodeID(0))))
+			time.Sleep(time.Duration(8-restart) * 700 * time.Millisecond)
 		}
 
 		until(t, 20*time.Second, "live everywhere", func() bool { return n.agree(size) })
 	})
 }
 
-// A node that left is forgotten after a while, and late gossip about it must not
-// bring it back.
-func TestForgottenNodesStayAway(t *testing.T) {
+// The record of a node that left is dropped after a while, and late gossip must not bring the
+// node back.
+func TestForgottenNodesAreNotRevived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 10
 
@@ -339,7 +338,7 @@
 		for b.Loop() {
 			r.Seq++
 			t.Merge([]membership.Record{r})
-			t.News(8, "x")
+			t.TakeChanges(8, "x")
 		}
 	})
 
@@ -356,7 +355,7 @@
 	})
 }
 
-// newTable returns a table of the fleet's size in two years.
+// newTable returns a table with size records, spread over 14 failure domains and 310 services.
 func newTable(size int) *membership.Table {
 	t := membership.NewTable(fleetRecord(0), timeline.New())
 
--- a/internal/membership/index.go
+++ b/internal/membership/index.go
@@ -7,35 +7,34 @@
 	"sync/atomic"
 )
 
-// index answers the questions of the path of a call without looking at all
-// records. Its snapshots are immutable: a call reads them without a lock and
-// without a copy.
+// index answers the queries of the call path without scanning all records. Its snapshots are
+// immutable, so a call reads them without locking or copying.
 type index struct {
 	services atomic.Pointer[map[string]*service]
 	ready    atomic.Int64
-	live     atomic.Pointer[[]Record] // nil after a change, until somebody asks
+	live     atomic.Pointer[[]Record] // nil after a change, until the next call of Live
 
-	// What follows is used under the table's lock.
-	suspect map[string]bool
-	dirty   map[*service]bool // those whose snapshot is outdated
+	// The fields below are guarded by the table's lock.
+	suspected map[string]bool
+	dirty     map[*service]bool // services whose snapshot is outdated
 }
 
-// service is who has ready backend servers of one service.
+// service indexes the nodes with ready backend servers of one service.
 type service struct {
-	serving atomic.Pointer[[]Record] // those that calls are sent to, in the order of IDs
-	members map[string]Record        // all live and ready ones; used under the table's lock
+	serving atomic.Pointer[[]Record] // nodes that calls are sent to, sorted by ID
+	members map[string]Record        // all live and ready nodes; guarded by the table's lock
 }
 
 func (x *index) init() {
-	x.suspect = map[string]bool{}
+	x.suspected = map[string]bool{}
 	x.dirty = map[*service]bool{}
 	x.services.Store(&map[string]*service{})
 }
 
-func (x *index) suspects() []string { return slices.Collect(maps.Keys(x.suspect)) }
+func (x *index) suspects() []string { return slices.Collect(maps.Keys(x.suspected)) }
 
-// replace takes a change of one record. A record that only has a higher number
-// leaves the snapshots as they are: nothing that a call looks at is different.
+// replace applies a change of one record. A change of only the sequence number leaves the
+// snapshots as they are, because they hold nothing else that a call reads.
 func (x *index) replace(old, r Record) {
 	x.live.Store(nil)
 
@@ -47,9 +46,9 @@
 	}
 
 	if r.State == StateSuspect {
-		x.suspect[r.ID] = true
+		x.suspected[r.ID] = true
 	} else {
-		delete(x.suspect, r.ID)
+		delete(x.suspected, r.ID)
 	}
 
 	if old.Ready() {
@@ -84,28 +83,27 @@
 	return s
 }
 
-// publish makes new snapshots of the services that changed; many changes that
-// arrived in one message cost one.
+// publish rebuilds the snapshots of changed services, once for all changes of a message.
 func (x *index) publish() {
 	for s := range x.dirty {
-		serving := s.choose()
+		serving := s.selectServing()
 		s.serving.Store(&serving)
 	}
 
 	clear(x.dirty)
 }
 
-// unlock ends a change of the table.
+// unlock publishes pending index changes and releases the table's lock.
 func (t *Table) unlock() {
 	t.index.publish()
 	t.mu.Unlock()
 }
 
-// choose returns who is sent calls: those that nobody suspects. If that would
-// leave less than half, the suspicion is the likelier fault, such as a broken
-// link of this node itself, and the suspected ones are sent calls too: a bad
-// signal must never empty a service.
-func (s *service) choose() []Record {
+// selectServing returns the nodes that calls are sent to, without suspected ones. If more than
+// half of the nodes are suspected, it returns all of them: a fault of this node, such as a
+// broken link, is then more likely, and false suspicions must never leave a service without
+// nodes.
+func (s *service) selectServing() []Record {
 	all := make([]Record, 0, len(s.members))
 	suspected := 0
 
@@ -128,8 +126,8 @@
 
 func byID(a, b Record) int { return strings.Compare(a.ID, b.ID) }
 
-// Serving returns the live nodes whose backend server takes calls of a service,
-// in the order of IDs. The slice is shared and must not be changed.
+// Serving returns the live nodes whose backend server accepts calls of a service, sorted by
+// ID. The slice is shared and must not be modified.
 func (t *Table) Serving(name string) []Record {
 	s := (*t.index.services.Load())[name]
 	if s == nil {
@@ -139,11 +137,11 @@
 	return *s.serving.Load()
 }
 
-// CountReady returns how many live nodes have a backend server that takes calls.
+// CountReady returns the number of live nodes whose backend server accepts calls.
 func (t *Table) CountReady() int { return int(t.index.ready.Load()) }
 
-// Live returns the records of nodes that are thought to run, in the order of IDs.
-// The slice is shared and must not be changed.
+// Live returns the records of live nodes, sorted by ID. The slice is shared and must not be
+// modified.
 func (t *Table) Live() []Record {
 	if live := t.index.live.Load(); live != nil {
 		return *live
@@ -163,7 +161,7 @@
 	return out
 }
 
-// CountLive returns how many nodes are thought to run.
+// CountLive returns the number of live nodes.
 func (t *Table) CountLive() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -171,12 +169,12 @@
 	return len(t.live.ids)
 }
 
-// Lost returns a random node that is held for dead.
-func (t *Table) Lost() (Record, bool) {
+// RandomDead returns a random node that is considered failed.
+func (t *Table) RandomDead() (Record, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 
-	// The order of a map's keys is random.
+	// Map iteration order is random.
 	for _, m := range t.members {
 		if m.record.State == StateDead {
 			return m.record, true
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -5,10 +5,11 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Merge takes records and returns how many were news.
+// Merge merges records into the table and returns how many were new or newer.
 func (t *Table) Merge(records []Record) int { return t.MergeFrom("", records) }
 
-// MergeFrom takes records that a node sent and returns how many were news.
+// MergeFrom merges records that were received from a node and returns how many were new or
+// newer.
 func (t *Table) MergeFrom(from string, records []Record) int {
 	t.mu.Lock()
 	defer t.unlock()
@@ -16,13 +17,13 @@
 	return t.mergeAll(from, records)
 }
 
-// Adopt takes records from a comparison. They are not passed on by gossip: others
-// have had them for long, and a node that joins would send the whole table round.
-func (t *Table) Adopt(from string, records []Record) int {
+// MergeCompared merges records from a digest comparison without gossiping them further: other
+// nodes already have them, and a joining node would otherwise send out the whole table.
+func (t *Table) MergeCompared(from string, records []Record) int {
 	t.mu.Lock()
 	defer t.unlock()
 
-	news := t.mergeAll(from, records)
+	updated := t.mergeAll(from, records)
 
 	for _, r := range records {
 		if m := t.members[r.ID]; m != nil && m.record.State == StateAlive && r.ID != t.self.ID {
@@ -30,20 +31,20 @@
 		}
 	}
 
-	return news
+	return updated
 }
 
-// mergeAll takes records and returns how many were news; t.mu is held.
+// mergeAll merges records and returns how many were new or newer; t.mu must be held.
 func (t *Table) mergeAll(from string, records []Record) int {
-	news := 0
+	updated := 0
 
 	for _, r := range records {
 		if t.merge(from, r) {
-			news++
+			updated++
 		}
 	}
 
-	return news
+	return updated
 }
 
 func (t *Table) merge(from string, r Record) bool {
@@ -58,48 +59,49 @@
 
 	switch r.State {
 	case StateSuspect, StateDead:
-		return t.mergeDoubted(from, m, r)
+		return t.mergeSuspected(from, m, r)
 	case StateAlive, StateLeft:
 	}
 
 	if m == nil && r.State == StateLeft {
-		// Nobody needs the record of a node that left before it was known here,
-		// and passing it round would start its time to be forgotten anew.
+		// The record of a node that left before it was known in this table is not needed.
+		// Passing it on would restart the time until other nodes forget it.
 		return false
 	}
 
-	t.tell(m, r, "")
-	t.put(r)
+	t.recordTransition(m, r, "")
+	t.store(r)
 
 	return true
 }
 
-// mergeDoubted takes a record that its sender holds suspect or dead: the record
-// as alive, and the belief as an accusation that the node may still refute.
-func (t *Table) mergeDoubted(from string, m *member, r Record) bool {
+// mergeSuspected merges a record that its sender considers suspect or dead. The record is
+// stored as alive, and the sender's view becomes a suspicion that the node can still refute.
+func (t *Table) mergeSuspected(from string, m *member, r Record) bool {
 	if m == nil {
 		return false
 	}
 
-	news := false
+	updated := false
 
-	if r.compareWritten(m.record) > 0 {
+	if r.compareEpochSeq(m.record) > 0 {
 		r.State = StateAlive
-		t.tell(m, r, "")
-		t.put(r)
+		t.recordTransition(m, r, "")
+		t.store(r)
 
-		news = true
+		updated = true
 	}
 
-	return t.accuse(Belief{ID: r.ID, Epoch: r.Epoch, Seq: r.Seq, State: StateSuspect, By: from}, "") || news
+	return t.addSuspicion(Belief{ID: r.ID, Epoch: r.Epoch, Seq: r.Seq, State: StateSuspect, By: from}, "") || updated
 }
 
-// refute answers what others hold of this node. A pause or a lost frame made
-// them suspect it, or an earlier life on this host left a record with a higher
-// epoch since the clock was set back: without a higher number of its own the
-// node would stay dead, or answer for an address that is gone, for good.
+// refute raises the local record above a record with another state of this node. Such a record
+// comes from a false suspicion after a process stall or a lost frame, or was left by an
+// earlier process on this host, with a higher epoch if the clock was set back since. Without a
+// higher epoch or sequence number, this node would stay dead for the others, or they would
+// keep an address that is no longer in use.
 func (t *Table) refute(r Record) bool {
-	c := r.compareWritten(t.self)
+	c := r.compareEpochSeq(t.self)
 
 	if r.Incarnation == t.self.Incarnation && (c < 0 || r.State <= t.self.State) {
 		return false
@@ -109,7 +111,7 @@
 		return false
 	}
 
-	// What is suspected at an epoch that this process never had is another one.
+	// A suspicion at an epoch that this process never had is about another process.
 	if t.replacedBy(r) || (r.State == StateSuspect && r.Epoch > t.self.Epoch) {
 		return false
 	}
@@ -119,18 +121,18 @@
 	}
 
 	t.self.Seq = max(t.self.Seq, r.Seq) + 1
-	t.put(t.self)
-	t.recorder.Record(event.MemberRefuted, timeline.Entry{Detail: "believed " + r.State.String()})
+	t.store(t.self)
+	t.recorder.Record(event.MemberRefuted, timeline.Entry{Detail: "reported as " + r.State.String()})
 
-	t.retract()
+	t.withdrawBeliefs()
 
 	return true
 }
 
-// replacedBy reports whether a later process has this ID at another address. A
-// host that was frozen is replaced and wakes: if both insisted, entries would send
-// calls now to the one and now to the other. The earlier one gives way for as long
-// as the later one is thought to run.
+// replacedBy reports whether a later process has this ID at another address, as after a
+// stalled host was replaced and resumes. If both processes insisted on the ID, calls would
+// alternate between them, so the earlier process yields while the later one is considered
+// alive.
 func (t *Table) replacedBy(r Record) bool {
 	if r.Incarnation <= t.self.Incarnation || r.PeerAddress == t.self.PeerAddress || !r.Live() {
 		return false
@@ -144,10 +146,10 @@
 	return true
 }
 
-// retract stops the spread of what is held of others. A node that others could
-// not reach was cut off or frozen, so what it could not reach in that time may be
-// well; who meets it again would suspect its own healthy neighbours.
-func (t *Table) retract() {
+// withdrawBeliefs stops sending beliefs about other nodes. A node that others could not reach
+// was itself cut off or stalled, so nodes that it failed to reach in that time may be healthy,
+// and its beliefs would cause false suspicions of them.
+func (t *Table) withdrawBeliefs() {
 	for id, m := range t.members {
 		if m.record.State == StateDead || m.record.State == StateSuspect {
 			t.changes.remove(id)
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -10,28 +10,28 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Peer methods of membership.
+// Peer methods of the membership protocol.
 const (
-	// MethodExchange is a probe that carries news both ways.
+	// MethodExchange is a probe that carries changes in both directions.
 	MethodExchange = "Member.Exchange"
-	// MethodProbe asks another node to probe a third.
+	// MethodProbe asks a node to probe another one.
 	MethodProbe = "Member.Probe"
-	// MethodDigest and MethodRecords compare and repair.
+	// MethodDigest and MethodRecords compare the tables of two nodes and repair differences.
 	MethodDigest  = "Member.Digest"
 	MethodRecords = "Member.Records"
 )
 
-// ErrBusy tells a node to compare later.
+// ErrBusy asks the peer to compare later.
 var ErrBusy = errs.New("membership.busy", http.StatusServiceUnavailable, "too many comparisons at the same time")
 
-// maxNews bounds the changes in one message: some 1.5 KB, five messages a second
-// at the most.
-const maxNews = 8
+// maxChanges bounds the changes in a message: some 1.5 KB, at most five messages a second.
+const maxChanges = 8
 
-// maxRecords bounds what one comparison moves, and what a message may hold.
+// maxRecords bounds the records transferred in one step of a comparison, and the records and
+// beliefs accepted in a message.
 const maxRecords = 512
 
-// Exchange is a probe, and its answer.
+// Exchange is a probe or the reply to one.
 type Exchange struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -41,26 +41,26 @@
 	Version uint64
 	Records []Record
 	Beliefs []Belief
-	// StoreEpoch is the newest epoch of the platform's store that the sender heard of, 0 if none.
+	// StoreEpoch is the latest epoch of the platform's store known to the sender, 0 if none.
 	StoreEpoch uint64 `msgpack:"-"`
 }
 
-// exchange is the part of an exchange that all nodes read.
-type exchange Exchange
+// exchangeBody is the part of an exchange that all versions of the program can decode.
+type exchangeBody Exchange
 
-// EncodeMsgpack writes the epoch behind the rest, where a node that does not know of it
-// reads no further. An array with one more field would be refused there.
+// EncodeMsgpack writes the epoch after the array, where nodes that do not know the epoch stop
+// reading. They would reject an array with an additional field.
 func (e Exchange) EncodeMsgpack(m *msgpack.Encoder) error {
-	if err := m.Encode((*exchange)(&e)); err != nil {
+	if err := m.Encode((*exchangeBody)(&e)); err != nil {
 		return err
 	}
 
 	return m.EncodeUint(e.StoreEpoch)
 }
 
-// DecodeMsgpack reads an exchange; without an epoch behind it none is known.
+// DecodeMsgpack reads an exchange; the epoch is 0 if the message ends after the array.
 func (e *Exchange) DecodeMsgpack(m *msgpack.Decoder) error {
-	if err := m.Decode((*exchange)(e)); err != nil {
+	if err := m.Decode((*exchangeBody)(e)); err != nil {
 		return err
 	}
 
@@ -74,7 +74,7 @@
 	return err
 }
 
-// Check reports whether a decoded message can be used.
+// Check validates a decoded message.
 func (e *Exchange) Check() error {
 	if e.From == "" || len(e.Records) > maxRecords || len(e.Beliefs) > maxRecords {
 		return ErrRecord.With("exchange from %q with %d records, %d beliefs", e.From, len(e.Records), len(e.Beliefs))
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// ProbeRequest asks to probe the node with the ID at the address.
+// ProbeRequest asks for a probe of the node with the ID at the address.
 type ProbeRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -107,7 +107,7 @@
 	Address string
 }
 
-// ProbeAnswer tells whether the node answered, and who asked it.
+// ProbeAnswer reports whether the node answered, and the ID of the node that probed it.
 type ProbeAnswer struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -122,16 +122,16 @@
 	Sums []byte
 }
 
-// Check reports whether a decoded message can be used.
+// Check validates a decoded message.
 func (d *DigestRequest) Check() error {
-	if len(d.Sums) != buckets*sumBytes {
+	if len(d.Sums) != bucketCount*sumBytes {
 		return ErrRecord.With("%d bytes of digests", len(d.Sums))
 	}
 
 	return nil
 }
 
-// DigestAnswer carries the entries of buckets that differ.
+// DigestAnswer carries the entries of the buckets that differ.
 type DigestAnswer struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -139,7 +139,8 @@
 	Entries []Entry
 }
 
-// RecordsRequest pushes what the other lacks and asks for what lacks here.
+// RecordsRequest carries the records that the receiver lacks and the keys of the records that
+// the sender lacks.
 type RecordsRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -148,7 +149,7 @@
 	Want    []uint64
 }
 
-// Check reports whether a decoded message can be used.
+// Check validates a decoded message.
 func (r *RecordsRequest) Check() error {
 	if r.From == "" || len(r.Records) > maxRecords || len(r.Want) > maxRecords {
 		return ErrRecord.With("%d records, %d wanted", len(r.Records), len(r.Want))
@@ -157,7 +158,7 @@
 	return checkAll(r.Records)
 }
 
-// RecordsAnswer carries what was asked for.
+// RecordsAnswer carries the requested records.
 type RecordsAnswer struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -165,5 +166,5 @@
 	Records []Record
 }
 
-// Check reports whether a decoded message can be used.
+// Check validates a decoded message.
 func (r *RecordsAnswer) Check() error { return checkAll(r.Records) }
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -16,15 +16,15 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// network is a fake of the connections between nodes: it encodes, counts and
-// delivers messages, with cuts and frozen nodes on demand.
+// network simulates the connections between nodes: it encodes, counts and delivers messages,
+// with configurable cuts and stalled nodes.
 type network struct {
-	mu     sync.Mutex
-	nodes  map[string]*simNode // by address
-	cut    func(from, to string) bool
-	frozen map[string]bool
-	sent   map[string]traffic // by sender
-	far    traffic            // between failure domains, of all nodes
+	mu          sync.Mutex
+	nodes       map[string]*simNode // by address
+	cut         func(from, to string) bool
+	stalled     map[string]bool
+	sent        map[string]traffic // by sender
+	crossDomain traffic            // between failure domains, sum of all nodes
 }
 
 type traffic struct{ messages, bytes int }
@@ -37,8 +37,8 @@
 	methods  map[string]peer.Handler
 }
 
-// port is a node's end of the network.
-type port struct {
+// endpoint is a node's connection to the network.
+type endpoint struct {
 	network *network
 	address string
 }
@@ -47,19 +47,19 @@
 
 func newNetwork() *network {
 	return &network{
-		nodes: map[string]*simNode{}, frozen: map[string]bool{}, sent: map[string]traffic{},
+		nodes: map[string]*simNode{}, stalled: map[string]bool{}, sent: map[string]traffic{},
 		cut: func(string, string) bool { return false },
 	}
 }
 
-func (p port) Do(ctx context.Context, address string, _ peer.Lane, method string, in, out any) error {
+func (p endpoint) Do(ctx context.Context, address string, _ peer.Lane, method string, in, out any) error {
 	data, err := msgpack.Marshal(in)
 	if err != nil {
 		return err
 	}
 
 	n := p.network
-	to, passes := n.carry(p.address, address, len(data))
+	to, delivered := n.transmit(p.address, address, len(data))
 
 	if to == nil {
 		wait(ctx)
@@ -67,7 +67,7 @@
 		return peer.ErrUnreachable
 	}
 
-	if !passes {
+	if !delivered {
 		<-ctx.Done()
 
 		return peer.ErrBroken
@@ -84,7 +84,7 @@
 		return err
 	}
 
-	if _, passes = n.carry(address, p.address, len(data)); !passes {
+	if _, delivered = n.transmit(address, p.address, len(data)); !delivered {
 		<-ctx.Done()
 
 		return peer.ErrBroken
@@ -102,8 +102,8 @@
 	}
 }
 
-// carry counts a message and reports whether it gets through.
-func (n *network) carry(from, to string, size int) (*simNode, bool) {
+// transmit counts a message, and returns the receiver and whether the message is delivered.
+func (n *network) transmit(from, to string, size int) (*simNode, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -113,14 +113,14 @@
 	n.sent[from] = t
 
 	if n.domain(from) != n.domain(to) {
-		n.far.messages++
-		n.far.bytes += size
+		n.crossDomain.messages++
+		n.crossDomain.bytes += size
 	}
 
-	return n.nodes[to], !n.cut(from, to) && !n.frozen[from] && !n.frozen[to]
+	return n.nodes[to], !n.cut(from, to) && !n.stalled[from] && !n.stalled[to]
 }
 
-// domain returns the failure domain of the node at an address, none if it is gone.
+// domain returns the failure domain of the node at an address, or "" if no node runs there.
 func (n *network) domain(address string) string {
 	s := n.nodes[address]
 	if s == nil {
@@ -141,20 +141,20 @@
 	n.set(func() {
 		clear(n.sent)
 
-		n.far = traffic{}
+		n.crossDomain = traffic{}
 	})
 }
 
-// between returns the traffic between failure domains.
-func (n *network) between() traffic {
+// crossDomainTraffic returns the traffic between failure domains.
+func (n *network) crossDomainTraffic() traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	return n.far
+	return n.crossDomain
 }
 
-// most returns the largest traffic of one node.
-func (n *network) most() traffic {
+// busiest returns the largest message and byte counts of any node.
+func (n *network) busiest() traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -189,7 +189,7 @@
 
 	s := &simNode{recorder: timeline.New(timeline.Node(r.ID))}
 	s.table = membership.NewTable(r, s.recorder)
-	s.gossip = membership.NewGossip(s.table, port{n, r.PeerAddress}, opts...)
+	s.gossip = membership.NewGossip(s.table, endpoint{n, r.PeerAddress}, opts...)
 	s.methods = map[string]peer.Handler{
 		membership.MethodExchange: peer.Typed(s.gossip.Serve),
 		membership.MethodProbe:    peer.Typed(s.gossip.ServeProbe),
@@ -207,7 +207,7 @@
 	return s
 }
 
-// kill ends a node without its notice.
+// kill stops a node without letting it leave.
 func (n *network) kill(id string) {
 	n.set(func() {
 		n.nodes[address(id)].stop()
@@ -217,7 +217,7 @@
 
 func nodeID(i int) string { return fmt.Sprintf("node-%04d", i) }
 
-// fleet starts count nodes that know the first as their seed.
+// fleet starts count nodes that use the first two as seeds.
 func (n *network) fleet(t *testing.T, count int, opts ...membership.Option) []*simNode {
 	t.Helper()
 
@@ -238,7 +238,7 @@
 	return slices.Collect(maps.Values(n.nodes))
 }
 
-// agree reports whether all nodes hold count nodes for live.
+// agree reports whether every node considers count nodes live.
 func (n *network) agree(count int) bool {
 	for _, s := range n.all() {
 		if s.table.CountLive() != count {
@@ -249,14 +249,15 @@
 	return true
 }
 
-// until waits in the bubble's time, and returns how long it took.
+// until waits, in the time of the synctest bubble, for a condition and returns how long it
+// took.
 func until(t *testing.T, limit time.Duration, what string, holds func() bool) time.Duration {
 	t.Helper()
 
 	start := time.Now()
 	for !holds() {
 		if time.Since(start) > limit {
-			t.Fatalf("%s: not after %s", what, limit)
+			t.Fatalf("%s: not within %s", what, limit)
 		}
 
 		time.Sleep(50 * time.Millisecond)
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -5,46 +5,44 @@
 	"time"
 )
 
-// Defaults of the options.
+// Default values of the options.
 const (
-	// DefaultInterval is the pause between rounds while there is news. Each round
-	// triples who has heard of a change, with some rounds for chance, so that a
-	// leaving backend server is known to 4,300 nodes within two seconds.
+	// DefaultInterval is the mean pause between rounds while there are changes. Each round
+	// roughly triples the number of nodes that know a change; with some margin, 4,300 nodes
+	// learn of a draining backend server within two seconds.
 	DefaultInterval = 100 * time.Millisecond
-	// DefaultProbe is the pause between probes of random nodes. Each node is then
-	// probed once a second whatever the fleet's size.
+	// DefaultProbe is the mean pause between probes of random nodes. Each node is probed about
+	// once a second at any fleet size.
 	DefaultProbe = time.Second
-	// DefaultTimeout bounds a probe: some hundred times the way between hosts.
+	// DefaultTimeout bounds a probe: some hundred times the round-trip time between hosts.
 	DefaultTimeout = 500 * time.Millisecond
-	// DefaultShortest and DefaultLongest are how long a suspected node may refute,
-	// if three observers or one accuse it. Two seconds are ten rounds of gossip
-	// each way, so that a pause of the garbage collector or a lost frame kills
-	// nobody.
+	// DefaultShortest and DefaultLongest are the times in which a node can refute a suspicion
+	// by three observers or by one. Two seconds are ten rounds of gossip in each direction,
+	// enough that a garbage collector pause or a lost frame does not cause a false death.
 	DefaultShortest = 2 * time.Second
 	DefaultLongest  = 6 * time.Second
-	// DefaultFanout is to how many nodes news goes in a round.
+	// DefaultFanout is the number of nodes that changes are sent to in a round.
 	DefaultFanout = 2
-	// DefaultHelpers is how many others are asked to probe a node that gave no
-	// answer, before it is suspected.
+	// DefaultHelpers is the number of nodes that are asked to probe an unresponsive node
+	// before it is suspected.
 	DefaultHelpers = 3
-	// DefaultReconnect is the pause between tries to reach a node that is held for
-	// dead, or a seed that is not among the live: it is how a cut that has healed
-	// is noticed, by whichever node tries first.
+	// DefaultReconnect is the mean pause between attempts to reach a dead node, or a seed that
+	// is not live. These attempts detect that a network partition has healed.
 	DefaultReconnect = 5 * time.Second
-	// DefaultSync is the least pause between comparisons of digests.
+	// DefaultSync is the mean pause after a successful digest comparison.
 	DefaultSync = 5 * time.Second
-	// DefaultForget is how long a dead or left node is remembered.
+	// DefaultForget is how long the record of a dead or left node is kept.
 	DefaultForget = 24 * time.Hour
 )
 
-// Epochs holds the newest epoch of the platform's store that was heard of.
+// Epochs tracks the latest known epoch of the platform's store.
 type Epochs interface {
 	Number() uint64
-	// Observe takes an epoch, and reports false for one that is over.
+	// Observe reports an epoch received from a peer; it returns false if the epoch is over.
 	Observe(number uint64) bool
 }
 
-// Options of a gossip.
+// Options configures a Gossip.
 type Options struct {
 	Interval  time.Duration
 	Probe     time.Duration
@@ -62,7 +60,7 @@
 	Epochs    Epochs
 }
 
-// Option sets an option.
+// Option modifies Options.
 type Option func(*Options)
 
 func newOptions(opts ...Option) Options {
@@ -88,37 +86,37 @@
 	return o
 }
 
-// Seeds sets the addresses to ask first.
+// Seeds sets the addresses to contact first when joining.
 func Seeds(addresses ...string) Option { return func(o *Options) { o.Seeds = addresses } }
 
-// Seek sets where addresses come from if no seed answers.
+// Seek sets the source of addresses to join if no seed answers.
 func Seek(f func(ctx context.Context) []string) Option { return func(o *Options) { o.Seek = f } }
 
-// Version sets what tells the version held here.
+// Version sets the function that returns the stored configuration version.
 func Version(f func() uint64) Option { return func(o *Options) { o.Version = f } }
 
-// Hear sets who hears of versions held elsewhere.
+// Hear sets the function that is called with configuration versions reported by peers.
 func Hear(f func(ctx context.Context, address string, version uint64)) Option {
 	return func(o *Options) { o.Hear = f }
 }
 
-// WithEpochs has the epoch told to other nodes, and taken from them.
+// WithEpochs sets where the store epoch sent to peers comes from and received epochs go to.
 func WithEpochs(e Epochs) Option { return func(o *Options) { o.Epochs = e } }
 
-// noEpochs is for a node that knows of none.
+// noEpochs is the default if no Epochs is set.
 type noEpochs struct{}
 
 func (noEpochs) Number() uint64      { return 0 }
 func (noEpochs) Observe(uint64) bool { return true }
 
-// Interval sets the mean pause between rounds while there is news.
+// Interval sets the mean pause between rounds while there are changes.
 func Interval(d time.Duration) Option { return func(o *Options) { o.Interval = d } }
 
 // Probe sets the mean pause between probes.
 func Probe(d time.Duration) Option { return func(o *Options) { o.Probe = d } }
 
-// WithSuspicion sets how long a suspected node may refute.
+// WithSuspicion sets how long a suspected node can refute.
 func WithSuspicion(s Suspicion) Option { return func(o *Options) { o.Suspicion = s } }
 
-// Forget sets how long a dead or left node is remembered.
+// Forget sets how long the record of a dead or left node is kept.
 func Forget(d time.Duration) Option { return func(o *Options) { o.Forget = d } }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -9,19 +9,19 @@
 	"github.com/pollencart/pollencart/internal/peer"
 )
 
-// farProbes is of how many probes one goes to another failure domain. Those within find
-// nodes that died; the others find failure domains that can't be reached, and bring the
-// digest from which a node learns that its whole failure domain lacks something.
-const farProbes = 8
-
-// probeRandom probes one random node, mostly of the own failure domain. With everyone
-// doing so each node is probed about once a second, and each message is one that the
-// fleet's size does not multiply.
+// probesPerCrossDomain is the mean number of probes per probe of another failure domain.
+// Probes within the failure domain detect failed nodes; the others detect unreachable failure
+// domains, and return digests that show records missing in the whole local failure domain.
+const probesPerCrossDomain = 8
+
+// probeRandom probes one random node, mostly of the local failure domain. Each node is thereby
+// probed about once a second, and the number of messages per node does not grow with the
+// fleet.
 func (g *Gossip) probeRandom(ctx context.Context) {
-	targets := g.table.Near(1)
+	targets := g.table.RandomNear(1)
 
-	if far := g.table.Elsewhere(); len(far) > 0 && rand.IntN(farProbes) == 0 {
-		targets = anyOf(far)
+	if otherDomains := g.table.Elsewhere(); len(otherDomains) > 0 && rand.IntN(probesPerCrossDomain) == 0 {
+		targets = randomOne(otherDomains)
 	}
 
 	for _, target := range targets {
@@ -29,11 +29,10 @@
 	}
 }
 
-// probe asks a node, then others whether it answers them, then suspects it.
+// probe probes a node directly, then through other nodes, and suspects it if nothing succeeds.
 //
-// A frozen or dead process, and a host that accepts connections and never
-// answers, look the same from here: nothing comes in time. So does a broken link
-// of this node; the others tell the two apart.
+// A process that is stalled or dead, and a host that accepts connections but never answers,
+// all time out. So does a broken link of this node; the indirect probes distinguish it.
 func (g *Gossip) probe(ctx context.Context, target Record) {
 	err := g.exchange(ctx, target)
 	if err == nil {
@@ -46,32 +45,33 @@
 		return
 	}
 
-	answered, observers := g.askOthers(ctx, target)
+	answered, observers := g.probeIndirectly(ctx, target)
 	if answered || ctx.Err() != nil {
 		return
 	}
 
 	g.health.missed()
 
-	// A record that is newer by now is the word of a process that was not asked.
-	if now, ok := g.table.Find(target.ID); !ok || now.compareWritten(target) != 0 {
+	// Skip if the record has changed: the failed probe does not apply to the process that
+	// wrote the newer one.
+	if now, ok := g.table.Find(target.ID); !ok || now.compareEpochSeq(target) != 0 {
 		return
 	}
 
 	g.table.Suspect(target.ID, err.Error(), append([]string{g.table.Self().ID}, observers...)...)
 
-	for _, r := range g.table.Beside(target, beside) {
-		g.doubts.add(r.PeerAddress)
+	for _, r := range g.table.RandomSameDomain(target, domainProbes) {
+		g.probeQueue.add(r.PeerAddress)
 	}
 }
 
-// beside is how many nodes of the failure domain of one that does not answer are probed
-// next. A whole failure domain that dies or is cut off is then known within seconds,
-// though it is seldom probed from elsewhere: who finds one finds two more.
-const beside = 2
+// domainProbes is the number of nodes that are probed next in the failure domain of an
+// unresponsive node. A failed or partitioned failure domain is thereby detected within
+// seconds, although it is rarely probed from other failure domains.
+const domainProbes = 2
 
-func (g *Gossip) askOthers(ctx context.Context, target Record) (answered bool, observers []string) {
-	ctx, cancel := context.WithTimeout(ctx, 2*g.health.stretch(g.options.Timeout))
+func (g *Gossip) probeIndirectly(ctx context.Context, target Record) (answered bool, observers []string) {
+	ctx, cancel := context.WithTimeout(ctx, 2*g.health.scaleTimeout(g.options.Timeout))
 	defer cancel()
 
 	var (
@@ -106,101 +106,102 @@
 	return answered, observers
 }
 
-// ServeProbe probes a node for another one.
+// ServeProbe probes a node on behalf of another one.
 func (g *Gossip) ServeProbe(ctx context.Context, in ProbeRequest) (ProbeAnswer, error) {
 	err := g.exchange(ctx, Record{ID: in.ID, PeerAddress: in.Address})
 
 	return ProbeAnswer{By: g.table.Self().ID, Answered: err == nil}, nil
 }
 
-// Doubt has the node at an address probed soon: a call to it has just failed.
-func (g *Gossip) Doubt(address string) { g.doubts.add(address) }
+// Doubt queues a probe of the node at an address after a call to it failed.
+func (g *Gossip) Doubt(address string) { g.probeQueue.add(address) }
 
-// examine probes nodes that there is reason to doubt: live ones that calls could
-// not reach, and dead ones that live elsewhere. A dead one that answers refutes,
-// since it is told what is held of it.
-func (g *Gossip) examine(ctx context.Context) {
-	for _, target := range g.table.At(g.doubts.take(maxExamined)) {
+// runQueuedProbes probes live nodes that calls could not reach, and dead nodes that are live
+// on other nodes. The probe carries the belief that the node is dead, so that it refutes it.
+func (g *Gossip) runQueuedProbes(ctx context.Context) {
+	for _, target := range g.table.ByAddress(g.probeQueue.take(maxQueuedProbes)) {
 		if target.State == StateAlive {
 			go g.probe(ctx, target)
 		}
 	}
 
-	for _, id := range g.disputes.take(maxExamined) {
+	for _, id := range g.disputed.take(maxQueuedProbes) {
 		if target, ok := g.table.Find(id); ok && target.State == StateDead {
 			go g.probe(ctx, target)
 		}
 	}
 }
 
-// maxExamined bounds the doubted nodes that are probed in a round, so that a cut
-// that heals between thousands of nodes is not answered by a storm of probes:
-// with each node taking random ones all are asked within seconds.
-const maxExamined = 4
+// maxQueuedProbes bounds the queued probes per round and queue. After a partition between
+// thousands of nodes heals, this avoids a burst of probes; since each node takes random
+// entries, all targets are still probed within seconds.
+const maxQueuedProbes = 4
 
-// doubts are addresses or IDs of nodes to be probed.
-type doubts struct {
+// probeQueue holds addresses or IDs of nodes to be probed.
+type probeQueue struct {
 	mu      sync.Mutex
 	pending map[string]bool
-	asked   map[string]time.Time
+	probed  map[string]time.Time
 }
 
-// askAgain is how long a node that was probed is not probed for doubt again.
-const askAgain = time.Second
+// reprobeInterval is the time after a queued probe in which the node is not queued again.
+const reprobeInterval = time.Second
 
-func newDoubts() doubts { return doubts{pending: map[string]bool{}, asked: map[string]time.Time{}} }
+func newProbeQueue() probeQueue {
+	return probeQueue{pending: map[string]bool{}, probed: map[string]time.Time{}}
+}
 
-func (d *doubts) add(address string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (q *probeQueue) add(address string) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 
-	if time.Since(d.asked[address]) >= askAgain {
-		d.pending[address] = true
+	if time.Since(q.probed[address]) >= reprobeInterval {
+		q.pending[address] = true
 	}
 }
 
-func (d *doubts) take(count int) []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (q *probeQueue) take(count int) []string {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 
-	for address, at := range d.asked {
-		if time.Since(at) >= askAgain {
-			delete(d.asked, address)
+	for address, at := range q.probed {
+		if time.Since(at) >= reprobeInterval {
+			delete(q.probed, address)
 		}
 	}
 
 	var out []string
 
-	for address := range d.pending {
+	for address := range q.pending {
 		if len(out) == count {
 			break
 		}
 
 		out = append(out, address)
-		d.asked[address] = time.Now()
-		delete(d.pending, address)
+		q.probed[address] = time.Now()
+		delete(q.pending, address)
 	}
 
 	return out
 }
 
-// health is what this node thinks of itself.
+// health tracks how well this node itself works.
 //
-// A node that is short of processor time, or was frozen, misses answers that
-// came in time and would suspect the healthy. It notices by probes that fail one
-// after the other and by its own late rounds, and then allows more time.
+// A node that lacks processor time or was stalled misses replies that arrived in time, and
+// would suspect healthy nodes. It detects this by consecutive failed probes and by delayed
+// rounds, and then extends its timeouts.
 type health struct {
-	mu     sync.Mutex
-	misses int
-	last   time.Time
+	mu        sync.Mutex
+	misses    int
+	lastRound time.Time
 }
 
 const (
-	// maxMisses bounds how far timeouts are stretched.
+	// maxMisses bounds how far timeouts are extended.
 	maxMisses = 4
-	// standstill is how late a round must be to count as a pause of the process:
-	// longer than a collector or a busy host delays it.
-	standstill = 4 * idlePause
+	// stallThreshold is the gap between rounds that counts as a process stall; garbage
+	// collection or a busy host delays a round by less.
+	stallThreshold = 4 * idlePause
 )
 
 func (h *health) answered() {
@@ -217,25 +218,25 @@
 	h.misses = min(h.misses+1, maxMisses)
 }
 
-func (h *health) stretch(d time.Duration) time.Duration {
+func (h *health) scaleTimeout(d time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
 	return d * time.Duration(1+h.misses)
 }
 
-// pulse notes a round and returns how long the process stood still before it, or
-// 0 if it did not.
-func (h *health) pulse() time.Duration {
+// recordRound records a round and returns the gap before it if the process was stalled,
+// otherwise 0.
+func (h *health) recordRound() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
 	now := time.Now()
-	gap := now.Sub(h.last)
-	first := h.last.IsZero()
-	h.last = now
+	gap := now.Sub(h.lastRound)
+	first := h.lastRound.IsZero()
+	h.lastRound = now
 
-	if first || gap < standstill {
+	if first || gap < stallThreshold {
 		return 0
 	}
 
--- a/internal/membership/random.go
+++ b/internal/membership/random.go
@@ -5,26 +5,25 @@
 	"slices"
 )
 
-// Random returns up to count different live nodes, without the own one and the
-// given ones.
-func (t *Table) Random(count int, without ...string) []Record {
+// Random returns up to count different live nodes, without this node and the excluded ones.
+func (t *Table) Random(count int, exclude ...string) []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 
-	return t.drawn(&t.live, count, without)
+	return t.sample(&t.live, count, exclude)
 }
 
-// Near is Random among the nodes of the own failure domain. A node that is alone in
-// its failure domain gets nodes of others, so that its news is not held back.
-func (t *Table) Near(count int, without ...string) []Record {
+// RandomNear is like Random, but restricted to the local failure domain. If this node is the
+// only live one there, it samples all nodes, so that its changes still spread.
+func (t *Table) RandomNear(count int, exclude ...string) []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 
-	if own := t.liveIn(t.self.FailureDomain); own.others(t.self.ID) > 0 {
-		return t.drawn(own, count, without)
+	if own := t.liveIn(t.self.FailureDomain); own.countOthers(t.self.ID) > 0 {
+		return t.sample(own, count, exclude)
 	}
 
-	return t.drawn(&t.live, count, without)
+	return t.sample(&t.live, count, exclude)
 }
 
 // Elsewhere returns a random live node of each other failure domain.
@@ -36,24 +35,23 @@
 
 	for domain, set := range t.domains {
 		if domain != t.self.FailureDomain {
-			out = append(out, t.drawn(set, 1, nil)...)
+			out = append(out, t.sample(set, 1, nil)...)
 		}
 	}
 
 	return out
 }
 
-// Beside returns up to count random nodes of the failure domain of a node that nobody
-// suspects, without that one.
-func (t *Table) Beside(r Record, count int) []Record {
+// RandomSameDomain samples up to count other nodes of the failure domain of a node and returns
+// those that are not suspected.
+func (t *Table) RandomSameDomain(r Record, count int) []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 
-	return slices.DeleteFunc(t.drawn(t.liveIn(r.FailureDomain), count, []string{r.ID}), func(o Record) bool { return o.State != StateAlive })
+	return slices.DeleteFunc(t.sample(t.liveIn(r.FailureDomain), count, []string{r.ID}), func(o Record) bool { return o.State != StateAlive })
 }
 
-// CountNear returns how many nodes of the own failure domain are thought to run, this
-// one included.
+// CountNear returns the number of live nodes in the local failure domain, including this one.
 func (t *Table) CountNear() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -61,7 +59,7 @@
 	return len(t.liveIn(t.self.FailureDomain).ids)
 }
 
-// liveIn returns the live nodes of a failure domain; t.mu is held.
+// liveIn returns the live nodes of a failure domain; t.mu must be held.
 func (t *Table) liveIn(domain string) *liveSet {
 	if set := t.domains[domain]; set != nil {
 		return set
@@ -70,14 +68,14 @@
 	return &liveSet{}
 }
 
-// drawn returns up to count different nodes of a set.
-func (t *Table) drawn(set *liveSet, count int, without []string) []Record {
+// sample returns up to count different random nodes of a set.
+func (t *Table) sample(set *liveSet, count int, exclude []string) []Record {
 	var out []Record
 
-	skip := append([]string{t.self.ID}, without...)
+	skip := append([]string{t.self.ID}, exclude...)
 
-	// More tries than wanted make up for repeats; a small fleet may give fewer than
-	// wanted, which costs a probe its breadth and nothing else.
+	// The additional tries make up for repeated picks. In a small fleet fewer than count nodes
+	// may be found, which only reduces the number of probes or targets.
 	const triesEach = 4
 
 	for tries := triesEach*count + len(skip); tries > 0 && len(out) < count && len(set.ids) > 0; tries-- {
@@ -93,11 +91,11 @@
 	return out
 }
 
-// setLive keeps who is live, in all and by failure domain.
+// setLive updates the sets of live nodes, overall and by failure domain.
 func (t *Table) setLive(before, r Record) {
 	t.live.set(r.ID, r.Live())
 
-	// A node that was moved is no longer counted where it was.
+	// Remove a node that moved to another failure domain from the previous one.
 	if old := t.domains[before.FailureDomain]; old != nil && before.FailureDomain != r.FailureDomain {
 		old.set(r.ID, false)
 	}
@@ -112,7 +110,7 @@
 	set.set(r.ID, r.Live())
 }
 
-// liveSet is a set with a random element in constant time.
+// liveSet is a set of IDs that supports random choice in constant time.
 type liveSet struct {
 	ids []string
 	at  map[string]int
@@ -142,8 +140,8 @@
 	return in
 }
 
-// others returns how many there are without the given one.
-func (s *liveSet) others(id string) int {
+// countOthers returns the number of elements without the given ID.
+func (s *liveSet) countOthers(id string) int {
 	if s.has(id) {
 		return len(s.ids) - 1
 	}
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -1,5 +1,5 @@
-// Package membership knows which nodes there are, without a list: each node
-// writes only its own record, and records spread by gossip.
+// Package membership maintains the set of nodes without a central list: each node writes
+// only its own record, and records spread by gossip.
 //
 // # Usage
 //
@@ -8,10 +8,10 @@
 //	go g.Run(ctx)
 //	for _, r := range t.Serving("browse") { ... }
 //
-// Table and its parts are plain data structures that are read and tested without
-// a network; Gossip drives them: it probes one random node a second, spreads
-// each change a bounded number of times, and compares digests with others so
-// that what gossip missed is repaired.
+// Table and its parts are plain data structures that can be read and tested without a
+// network. Gossip drives them: it probes one random node a second, sends each change a
+// bounded number of times, and compares digests with other nodes to repair what gossip
+// missed.
 package membership
 
 import (
@@ -22,14 +22,14 @@
 	"github.com/pollencart/pollencart/pkg/upstream"
 )
 
-// ErrRecord is returned for a record that does not check.
+// ErrRecord is returned for an invalid record or message.
 var ErrRecord = errs.New("membership.record", http.StatusBadRequest, "member record not accepted")
 
-// State is what is believed of a node.
+// State is the state of a node in the view of another one.
 type State uint8
 
-// The states, in the order in which a later one overrides an earlier one of the
-// same epoch and sequence number.
+// The states, in ascending precedence: a later one overrides an earlier one of the same epoch
+// and sequence number.
 const (
 	StateAlive State = iota + 1
 	StateSuspect
@@ -47,7 +47,7 @@
 	return "invalid"
 }
 
-// UpstreamState is what the backend server on the node's host says of itself.
+// UpstreamState is the state that a backend server reports to the node on its host.
 type UpstreamState = upstream.State
 
 // The states of a backend server.
@@ -58,7 +58,7 @@
 	UpstreamGone     = upstream.Gone
 )
 
-// Upstream is what a node tells about the backend server on its host.
+// Upstream is what a node announces about its local backend server.
 type Upstream struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -69,12 +69,12 @@
 	ReadySince  int64         `json:"ReadySince" msgpack:"ReadySince"`
 }
 
-// Record is what a node says of itself; others only change State.
+// Record is what a node announces about itself; other nodes change only State.
 //
-// Incarnation is set once in the life of a process and is never used by another
-// life of the same ID. Epoch orders the records of an ID: it starts as the
-// incarnation and is raised by the node itself when it meets a higher one, which
-// an earlier life left behind on a host whose clock was set back since.
+// Incarnation identifies the process: it is set once at start and never reused for the same
+// ID. Epoch orders the records of an ID: it starts as the incarnation, and the node raises
+// it when it receives a higher one, left by an earlier process on a host whose clock was
+// set back since.
 type Record struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -89,12 +89,12 @@
 	CallerAddress  string   `json:"CallerAddress" msgpack:"CallerAddress"`
 	ControlAddress string   `json:"ControlAddress" msgpack:"ControlAddress"`
 	Upstream       Upstream `json:"Upstream" msgpack:"Upstream"`
-	// Capacity is the bandwidth of the host's link in megabits a second, 0 if all
-	// hosts are alike. Those with most of it do what one node does for many.
+	// Capacity is the bandwidth of the host's link in megabits per second, 0 if all hosts are
+	// alike. Nodes with more capacity are preferred for tasks that one node does for many.
 	Capacity uint32 `json:"Capacity,omitempty" msgpack:"Capacity"`
 }
 
-// Check reports whether a decoded record can be used.
+// Check validates a decoded record.
 func (r *Record) Check() error {
 	if r.ID == "" || r.PeerAddress == "" {
 		return ErrRecord.With("ID or PeerAddress is missing")
@@ -107,18 +107,18 @@
 	return nil
 }
 
-// Compare orders records of one node: epoch, then what the node itself changed,
-// then what others believe.
+// Compare orders records of one node by epoch and sequence number, which the node itself sets,
+// then by state, which other nodes set.
 func (r Record) Compare(o Record) int {
-	if c := r.compareWritten(o); c != 0 {
+	if c := r.compareEpochSeq(o); c != 0 {
 		return c
 	}
 
 	return cmp.Compare(r.State, o.State)
 }
 
-// compareWritten orders by what the node itself wrote.
-func (r Record) compareWritten(o Record) int {
+// compareEpochSeq orders records by epoch and sequence number, ignoring the state.
+func (r Record) compareEpochSeq(o Record) int {
 	if c := cmp.Compare(r.Epoch, o.Epoch); c != 0 {
 		return c
 	}
@@ -126,21 +126,20 @@
 	return cmp.Compare(r.Seq, o.Seq)
 }
 
-// WithState returns the record with another belief.
+// WithState returns a copy of the record with another state.
 func (r Record) WithState(s State) Record {
 	r.State = s
 
 	return r
 }
 
-// Live reports whether the node is thought to run.
+// Live reports whether the node is considered alive, including suspected nodes.
 func (r Record) Live() bool { return r.State == StateAlive || r.State == StateSuspect }
 
-// Ready reports whether the node is thought to run and its backend server takes
-// calls.
+// Ready reports whether the node is considered alive and its backend server accepts calls.
 func (r Record) Ready() bool { return r.Live() && r.Upstream.State == UpstreamReady }
 
-// Belief is what one node holds of another: suspected or dead.
+// Belief is one node's view that another node is suspect or dead.
 type Belief struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -151,7 +150,7 @@
 	By    string
 }
 
-// Check reports whether a decoded belief can be used.
+// Check validates a decoded belief.
 func (b *Belief) Check() error {
 	if b.ID == "" || b.By == "" || (b.State != StateSuspect && b.State != StateDead) {
 		return ErrRecord.With("belief of %q by %q in state %d", b.ID, b.By, b.State)
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -10,34 +10,34 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// maxAccusers is how many observers of one node are remembered and passed on.
-// From the third on a suspicion no longer hangs on a single observer's luck.
-const maxAccusers = 3
+// maxObservers is the maximum number of observers of one node that are stored and passed on.
+// Three independent observers make a suspicion robust against a fault of a single one.
+const maxObservers = 3
 
-// Suspicion says how long a suspected node may refute.
+// Suspicion sets how long a suspected node can refute.
 //
-// A herd of false deaths answers to one bad observer: a node whose own link is
-// broken, or that is short of processor time, gets no answers from anyone. So
-// one accuser alone must wait for the longest time, in which the accused hears
-// of it and refutes; each further one shortens the wait.
+// A faulty observer, such as a node with a broken link or too little processor time, gets no
+// answer from any node and would cause many false deaths. A suspicion by one observer
+// therefore waits for the longest time, in which the suspected node learns of it and
+// refutes; each further observer shortens the wait.
 type Suspicion struct {
 	Shortest time.Duration
 	Longest  time.Duration
 }
 
-// Timeout returns how long a node may refute that so many observers accuse.
-func (s Suspicion) Timeout(accusers int) time.Duration {
-	if accusers >= maxAccusers {
+// Timeout returns how long a node that is suspected by this many observers can refute.
+func (s Suspicion) Timeout(observers int) time.Duration {
+	if observers >= maxObservers {
 		return s.Shortest
 	}
 
-	share := math.Log(float64(max(accusers, 1))) / math.Log(maxAccusers)
+	share := math.Log(float64(max(observers, 1))) / math.Log(maxObservers)
 
 	return s.Longest - time.Duration(share*float64(s.Longest-s.Shortest))
 }
 
-// Suspect notes that observers got no answer from a node.
-func (t *Table) Suspect(id, why string, observers ...string) {
+// Suspect records that observers got no answer from a node.
+func (t *Table) Suspect(id, reason string, observers ...string) {
 	t.mu.Lock()
 	defer t.unlock()
 
@@ -47,25 +47,26 @@
 	}
 
 	if m.record.State == StateDead {
-		// Asked once more, since another node holds it for live: tell that it is not.
-		t.note(id)
+		// The node was probed because another node considers it live: send the belief that it
+		// is dead once more.
+		t.queueChange(id)
 	}
 
 	for _, by := range observers {
-		t.accuse(Belief{ID: id, Epoch: m.record.Epoch, Seq: m.record.Seq, State: StateSuspect, By: by}, why)
+		t.addSuspicion(Belief{ID: id, Epoch: m.record.Epoch, Seq: m.record.Seq, State: StateSuspect, By: by}, reason)
 	}
 }
 
-// Believe takes what others hold of nodes.
-func (t *Table) Believe(beliefs []Belief) {
+// MergeBeliefs merges beliefs that were received from another node.
+func (t *Table) MergeBeliefs(beliefs []Belief) {
 	t.mu.Lock()
 	defer t.unlock()
 
 	for _, b := range beliefs {
 		if b.ID == t.self.ID {
-			// A belief about another epoch is about another process with this ID.
-			// Only its record tells whether that one replaced this one; refuting
-			// the belief would take the ID back from a healthy replacement.
+			// A belief about another epoch is about another process with this ID. Only the
+			// record of that process shows whether it replaced this one; refuting the belief
+			// would take the ID from a healthy replacement.
 			if b.Epoch != t.self.Epoch {
 				continue
 			}
@@ -75,70 +76,70 @@
 			continue
 		}
 
-		t.believe(b)
+		t.mergeBelief(b)
 	}
 }
 
-func (t *Table) believe(b Belief) {
+func (t *Table) mergeBelief(b Belief) {
 	m := t.members[b.ID]
 	if m == nil || b.Epoch != m.record.Epoch || b.Seq != m.record.Seq || !m.record.Live() {
 		return
 	}
 
-	// A death that was not preceded by a suspicion here is only an accusation:
-	// after a cut heals, each side holds the other for dead, and a side that
-	// took the word of the other would drop its own healthy backend servers.
+	// A reported death without a local suspicion counts only as a suspicion: after a partition
+	// heals, each side considers the other dead, and accepting such reports would remove
+	// healthy local nodes.
 	if b.State == StateDead && m.record.State == StateSuspect {
-		t.bury(m, b.By)
+		t.markDead(m, b.By)
 
 		return
 	}
 
 	b.State = StateSuspect
-	t.accuse(b, "")
+	t.addSuspicion(b, "")
 }
 
-// accuse notes one observer's suspicion and reports whether it was news.
-func (t *Table) accuse(b Belief, why string) bool {
+// addSuspicion records the suspicion of one observer and reports whether it was new.
+func (t *Table) addSuspicion(b Belief, reason string) bool {
 	m := t.members[b.ID]
 	if m == nil || b.ID == t.self.ID || b.Epoch != m.record.Epoch || b.Seq != m.record.Seq || !m.record.Live() {
 		return false
 	}
 
-	if len(m.accusers) == maxAccusers || slices.Contains(m.accusers, b.By) {
+	if len(m.observers) == maxObservers || slices.Contains(m.observers, b.By) {
 		return false
 	}
 
-	// Right after a cut has healed, the other side accuses all of this one. Who is
-	// not held for well here was cut off from here, and its word counts for nothing.
+	// Ignore observers that are not alive in this table. Right after a partition heals, the
+	// nodes of the other side suspect all nodes of this one.
 	if by := t.members[b.By]; by != nil && by.record.State != StateAlive {
 		return false
 	}
 
 	if m.record.State == StateAlive {
 		detail := "by " + b.By
-		if why != "" {
-			detail += ": " + why
+		if reason != "" {
+			detail += ": " + reason
 		}
 
 		next := m.record.WithState(StateSuspect)
-		t.tell(m, next, detail)
-		t.put(next)
+		t.recordTransition(m, next, detail)
+		t.store(next)
 	}
 
-	m.accusers = append(m.accusers, b.By)
-	t.note(b.ID)
+	m.observers = append(m.observers, b.By)
+	t.queueChange(b.ID)
 
 	return true
 }
 
-func (t *Table) bury(m *member, by string) {
+func (t *Table) markDead(m *member, by string) {
 	next := m.record.WithState(StateDead)
-	t.tell(m, next, "by "+by+", accused by "+strings.Join(m.accusers, ", "))
-	t.put(next)
+	t.recordTransition(m, next, "by "+by+", suspected by "+strings.Join(m.observers, ", "))
+	t.store(next)
 }
 
-// Expire takes nodes for dead that did not refute in time.
+// Expire marks suspected nodes as dead that did not refute in time.
 func (t *Table) Expire(s Suspicion) {
 	t.mu.Lock()
 	defer t.unlock()
@@ -146,16 +147,16 @@
 	now := time.Now()
 
 	for _, id := range t.index.suspects() {
-		if m := t.members[id]; m != nil && now.Sub(m.since) >= s.Timeout(len(m.accusers)) {
-			t.bury(m, t.self.ID)
+		if m := t.members[id]; m != nil && now.Sub(m.since) >= s.Timeout(len(m.observers)) {
+			t.markDead(m, t.self.ID)
 		}
 	}
 }
 
-// Restart gives all suspected nodes their whole time again. A process that was
-// frozen wakes with timers that ran out while it could hear nobody; without this
-// it would take for dead whoever it suspected.
-func (t *Table) Restart(gap time.Duration) {
+// RestartTimeouts restarts the refutation timeouts of all suspected nodes after a process
+// stall. The timeouts elapse during a stall while no refutation can be received, so without
+// the restart the suspected nodes would be marked dead.
+func (t *Table) RestartTimeouts(gap time.Duration) {
 	t.mu.Lock()
 	defer t.unlock()
 
@@ -168,7 +169,7 @@
 	t.recorder.Record(event.NodePaused, timeline.Entry{Detail: gap.Round(time.Millisecond).String()})
 }
 
-// beliefOf returns what is held of a node, if it is not thought to be well.
+// beliefsOf returns the beliefs about a node, if it is suspect or dead.
 func (t *Table) beliefsOf(id string) []Belief {
 	m := t.members[id]
 	if m == nil {
@@ -189,7 +190,7 @@
 
 	var out []Belief
 
-	for _, by := range m.accusers {
+	for _, by := range m.observers {
 		b.By = by
 		out = append(out, b)
 	}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -12,9 +12,8 @@
 // maxEntries bounds the entries of one comparison.
 const maxEntries = 1024
 
-// compare repairs what gossip missed. It compares digests with a node whose
-// digest differed, if the difference outlasts the news under way; a full table is
-// never sent when little differs.
+// compare repairs what gossip missed. It compares digests with a node whose digest differed,
+// after a pause for changes in transit; the full table is never sent when little differs.
 func (g *Gossip) compare(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -22,10 +21,10 @@
 	case <-g.compareNow:
 	}
 
-	// News may be under way that settles it.
+	// Changes in transit may resolve the difference.
 	idle.For(ctx, jitter(idlePause))
 
-	address := g.differs.Swap(nil)
+	address := g.compareAddress.Swap(nil)
 	if address == nil {
 		return
 	}
@@ -37,7 +36,7 @@
 	}
 }
 
-// repair compares with one node until nothing differs that either can give.
+// repair compares with a node until neither side has records to transfer.
 func (g *Gossip) repair(ctx context.Context, address string) error {
 	const most = 64
 
@@ -52,7 +51,8 @@
 }
 
 func (g *Gossip) repairOnce(ctx context.Context, address string) (int, error) {
-	// A comparison may carry hundreds of records, so it has longer than a probe.
+	// A comparison can carry hundreds of records, so its timeout is longer than that of a
+	// probe.
 	const probes = 4
 
 	ctx, cancel := context.WithTimeout(ctx, probes*g.options.Timeout)
@@ -64,8 +64,8 @@
 	}
 
 	d := g.table.Compare(digest.Buckets, digest.Entries)
-	for _, id := range d.Doubt {
-		g.disputes.add(id)
+	for _, id := range d.Disputed {
+		g.disputed.add(id)
 	}
 
 	in := RecordsRequest{
@@ -82,14 +82,14 @@
 		return 0, err
 	}
 
-	return len(in.Records) + g.table.Adopt(out.From, out.Records), nil
+	return len(in.Records) + g.table.MergeCompared(out.From, out.Records), nil
 }
 
-// ServeDigest answers a comparison.
+// ServeDigest answers a digest comparison.
 func (g *Gossip) ServeDigest(_ context.Context, in DigestRequest) (DigestAnswer, error) {
 	select {
-	case g.serving <- struct{}{}:
-		defer func() { <-g.serving }()
+	case g.comparing <- struct{}{}:
+		defer func() { <-g.comparing }()
 	default:
 		return DigestAnswer{}, ErrBusy
 	}
@@ -99,44 +99,44 @@
 	return DigestAnswer{Buckets: differ, Entries: entries}, nil
 }
 
-// ServeRecords takes what this node lacks and gives what the other lacks.
+// ServeRecords merges the pushed records and returns the wanted ones.
 func (g *Gossip) ServeRecords(_ context.Context, in RecordsRequest) (RecordsAnswer, error) {
-	g.table.Adopt(in.From, in.Records)
+	g.table.MergeCompared(in.From, in.Records)
 
-	return RecordsAnswer{From: g.table.Self().ID, Records: g.table.Pick(in.Want)}, nil
+	return RecordsAnswer{From: g.table.Self().ID, Records: g.table.RecordsByKey(in.Want)}, nil
 }
 
-// join looks for others while this node knows nobody: the seeds first, then where
-// else addresses can be had.
+// join looks for peers while this node knows no other live node: first the seeds, then the
+// addresses from the fallback source.
 func (g *Gossip) join(ctx context.Context) {
 	if g.table.CountLive() > 1 {
-		g.alone = 0
+		g.joinAttempts = 0
 
-		// Alone again is a matter of minutes, such as after all others died.
+		// A node becomes isolated again only after minutes, such as when all other nodes died.
 		idle.For(ctx, g.options.Reconnect)
 
 		return
 	}
 
-	if g.tryAny(ctx, g.options.Seeds) || g.tryAny(ctx, g.options.Seek(ctx)) {
+	if g.joinAny(ctx, g.options.Seeds) || g.joinAny(ctx, g.options.Seek(ctx)) {
 		return
 	}
 
-	// A herd that starts together meets a few seeds: each node comes back after a
-	// random part of a time that doubles.
-	g.alone = min(g.alone+1, maxAlone)
-	idle.For(ctx, rand.N(g.options.Interval<<g.alone))
+	// Many nodes that start at once contact the same few seeds, so each node retries after a
+	// random delay with exponential backoff.
+	g.joinAttempts = min(g.joinAttempts+1, maxJoinBackoff)
+	idle.For(ctx, rand.N(g.options.Interval<<g.joinAttempts))
 }
 
-// maxAlone bounds the pause between tries to join to some six seconds.
-const maxAlone = 5
+// maxJoinBackoff bounds the backoff exponent: at most some six seconds between join attempts.
+const maxJoinBackoff = 5
 
-func (g *Gossip) tryAny(ctx context.Context, addresses []string) bool {
+func (g *Gossip) joinAny(ctx context.Context, addresses []string) bool {
 	addresses = slices.Clone(addresses)
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 
 	for _, address := range addresses {
-		if g.tryAddress(ctx, address) {
+		if g.joinAddress(ctx, address) {
 			return true
 		}
 	}
@@ -144,7 +144,7 @@
 	return false
 }
 
-func (g *Gossip) tryAddress(ctx context.Context, address string) bool {
+func (g *Gossip) joinAddress(ctx context.Context, address string) bool {
 	if address == g.table.Self().PeerAddress {
 		return false
 	}
@@ -152,39 +152,38 @@
 	timeout, cancel := context.WithTimeout(ctx, g.options.Timeout)
 	defer cancel()
 
-	if _, err := g.talk(timeout, "", address); err != nil {
+	if _, err := g.sendExchange(timeout, "", address); err != nil {
 		return false
 	}
 
 	return g.repair(ctx, address) == nil
 }
 
-// Meet gets to know the node at an address, and reports whether it answered.
-func (g *Gossip) Meet(ctx context.Context, address string) bool { return g.tryAddress(ctx, address) }
+// Meet joins through the node at an address and reports whether this succeeded.
+func (g *Gossip) Meet(ctx context.Context, address string) bool { return g.joinAddress(ctx, address) }
 
-// reconnect tries a node that is held for dead, or a seed that is not among the
-// live. After a cut has healed nobody else would: each side has taken the other
-// for dead and probes it no more.
+// reconnect tries a dead node and a seed that is not live. After a network partition heals
+// this is required, because each side considers the other dead and no longer probes it.
 func (g *Gossip) reconnect(ctx context.Context) {
 	g.table.Forget(g.options.Forget)
 
-	if r, ok := g.table.Lost(); ok {
-		go g.regain(ctx, r)
+	if r, ok := g.table.RandomDead(); ok {
+		go g.reconnectTo(ctx, r)
 	}
 
 	lost := slices.DeleteFunc(slices.Clone(g.options.Seeds), g.table.LiveAt)
 	if len(lost) > 0 {
 		address := lost[rand.IntN(len(lost))]
 
-		go g.tryAddress(ctx, address)
+		go g.joinAddress(ctx, address)
 	}
 }
 
-// regain tries a node that is held for dead. One that answers was cut off, mostly with
-// its whole failure domain: what happened on the other side is had from it.
-func (g *Gossip) regain(ctx context.Context, r Record) {
+// reconnectTo contacts a dead node. If the node answers, it was partitioned, usually with its
+// whole failure domain, and a comparison fetches the changes of the other side.
+func (g *Gossip) reconnectTo(ctx context.Context, r Record) {
 	if g.exchange(ctx, r) == nil {
-		g.compareWith(r.PeerAddress)
+		g.scheduleCompare(r.PeerAddress)
 	}
 }
 
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -9,38 +9,39 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Table is what one node knows of all nodes.
+// Table is one node's view of all nodes.
 type Table struct {
 	recorder *timeline.Recorder
 
 	mu   sync.RWMutex
 	self Record
-	// replaced is set once a later process with the same ID was heard of.
+	// replaced is set once a later process with the same ID is known.
 	replaced bool
 	members  map[string]*member
 	live     liveSet
-	domains  map[string]*liveSet // the live nodes by failure domain
-	// addresses are the IDs of the records with a peer address: mostly one, more where a
-	// node was replaced under its address.
+	domains  map[string]*liveSet // live nodes by failure domain
+	// addresses maps peer addresses to node IDs: usually one, more after a node was replaced
+	// at the same address.
 	addresses map[string][]string
 	digest    digest
 	changes   changes
 	index     index
-	// untold says that the own record changed and other failure domains were not told.
-	untold bool
-	// news wakes who spreads changes.
-	news chan struct{}
+	// selfChanged is set while a change of the local record has not been sent to other failure
+	// domains.
+	selfChanged bool
+	// changed wakes the goroutine that sends changes.
+	changed chan struct{}
 }
 
 type member struct {
 	record Record
-	weight uint64 // in the order of its failure domain
+	weight uint64 // rendezvous hash within the failure domain
 	since  time.Time
-	// accusers are the observers that got no answer, the first of them first.
-	accusers []string
+	// observers are the nodes that got no answer from the member, in order of report.
+	observers []string
 }
 
-// NewTable returns a table that knows only its own node.
+// NewTable returns a table that contains only the local node.
 func NewTable(self Record, recorder *timeline.Recorder) *Table {
 	self.State = StateAlive
 	if self.Epoch == 0 {
@@ -49,16 +50,16 @@
 
 	t := &Table{
 		recorder: recorder, self: self, members: map[string]*member{}, live: newLiveSet(), domains: map[string]*liveSet{},
-		addresses: map[string][]string{}, changes: newChanges(), news: make(chan struct{}, 1),
+		addresses: map[string][]string{}, changes: newChanges(), changed: make(chan struct{}, 1),
 	}
 	t.index.init()
-	t.put(self)
+	t.store(self)
 	t.index.publish()
 
 	return t
 }
 
-// Self returns the own record.
+// Self returns the local record.
 func (t *Table) Self() Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -66,7 +67,7 @@
 	return t.self
 }
 
-// Update changes the own record; nobody else does.
+// Update changes the local record, which only this node writes.
 func (t *Table) Update(change func(Record) Record) {
 	t.mu.Lock()
 	defer t.unlock()
@@ -74,11 +75,11 @@
 	next := change(t.self)
 	next.Seq = t.self.Seq + 1
 	t.self = next
-	t.put(next)
+	t.store(next)
 }
 
-// put stores a record and notes it as a change to be spread.
-func (t *Table) put(r Record) {
+// store stores a record and queues the change.
+func (t *Table) store(r Record) {
 	now := time.Now()
 	old := t.members[r.ID]
 
@@ -99,33 +100,33 @@
 	}
 
 	if r.State == StateAlive || r.State == StateLeft {
-		old.accusers = nil
+		old.observers = nil
 	}
 
-	t.move(r.ID, before.PeerAddress, r.PeerAddress)
+	t.updateAddress(r.ID, before.PeerAddress, r.PeerAddress)
 	t.setLive(before, r)
 
 	if r.ID == t.self.ID {
-		t.untold = true
+		t.selfChanged = true
 	}
 
 	t.digest.replace(before, r)
-	t.note(r.ID)
+	t.queueChange(r.ID)
 	t.index.replace(before, r)
 }
 
-// note has a node's record or what is held of it spread anew.
-func (t *Table) note(id string) {
+// queueChange queues a node's record and the beliefs about it to be sent.
+func (t *Table) queueChange(id string) {
 	t.changes.add(id)
 
 	select {
-	case t.news <- struct{}{}:
+	case t.changed <- struct{}{}:
 	default:
 	}
 }
 
-// tell records a change of belief, not every renewal.
-func (t *Table) tell(m *member, r Record, detail string) {
+// recordTransition records an event if the state of a node changes.
+func (t *Table) recordTransition(m *member, r Record, detail string) {
 	var old Record
 	if m != nil {
 		old = m.record
@@ -154,9 +155,9 @@
 	t.recorder.Record(e, timeline.Entry{Peer: r.ID, Detail: detail})
 }
 
-// Forget drops records of nodes that are dead or left for longer than after.
-// They are kept that long so that late gossip can't bring a node back that is
-// gone, and so that a node on the other side of a cut is found again.
+// Forget drops records of nodes that have been dead or left for longer than after. Until then
+// they prevent late gossip from reviving a terminated node, and allow a node on the other side
+// of a network partition to be found again.
 func (t *Table) Forget(after time.Duration) {
 	t.mu.Lock()
 	defer t.unlock()
@@ -167,12 +168,12 @@
 		if !m.record.Live() && id != t.self.ID && now.Sub(m.since) >= after {
 			delete(t.members, id)
 			t.changes.remove(id)
-			t.move(id, m.record.PeerAddress, "")
+			t.updateAddress(id, m.record.PeerAddress, "")
 		}
 	}
 }
 
-// Records returns all records in the order of IDs.
+// Records returns all records, sorted by ID.
 func (t *Table) Records() []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -187,8 +188,8 @@
 	return out
 }
 
-// OfService returns the records of all nodes beside backend servers of a service in the
-// order of IDs, whatever is believed of them. It looks at all records: not for each call.
+// OfService returns the records of all nodes with a local backend server of a service, in any
+// state, sorted by ID. It scans all records, so it is not meant for the call path.
 func (t *Table) OfService(service string) []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -28,13 +28,13 @@
 
 var suspicion = membership.Suspicion{Shortest: 2 * time.Second, Longest: 6 * time.Second}
 
-// One node has a broken link and accuses all others. If its word alone counted as
-// much as that of several, the fleet would hold its healthy nodes for dead.
-func TestOneAccuserAloneMustWaitLongest(t *testing.T) {
+// One node has a broken link and suspects all others. If its suspicion counted as much as that
+// of several observers, healthy nodes would be marked dead.
+func TestSuspicionByOneObserverHasLongestTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one, three := tableOf("a", "b", "c", "d"), tableOf("a", "b", "c", "d")
-		one.Believe([]membership.Belief{suspectA("b"), suspectA("b"), suspectA("b")})
-		three.Believe([]membership.Belief{suspectA("b"), suspectA("c"), suspectA("d")})
+		one.MergeBeliefs([]membership.Belief{suspectA("b"), suspectA("b"), suspectA("b")})
+		three.MergeBeliefs([]membership.Belief{suspectA("b"), suspectA("c"), suspectA("d")})
 		time.Sleep(suspicion.Shortest)
 		one.Expire(suspicion)
 		three.Expire(suspicion)
@@ -53,25 +53,25 @@
 	return r.State
 }
 
-// After a cut has healed, the other side accuses all of this one. An entry that
-// took its word would stop sending calls to its own healthy backend servers.
-func TestTheWordOfWhoWasCutOffCountsForNothing(t *testing.T) {
+// After a network partition heals, the nodes of the other side suspect all nodes of this one.
+// An entry node that accepted these suspicions would stop sending calls to healthy backend
+// servers of its own side.
+func TestBeliefsOfDeadOrSuspectedNodesAreNotTrusted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := tableOf("a", "far", "near")
 		table.Suspect("far", "no answer", "self", "near", "other")
-		table.Believe([]membership.Belief{suspectA("far")})
+		table.MergeBeliefs([]membership.Belief{suspectA("far")})
 		assert.Equal(t, stateOf(table, "a"), membership.StateAlive)
-		table.Believe([]membership.Belief{suspectA("near")})
+		table.MergeBeliefs([]membership.Belief{suspectA("near")})
 		assert.Equal(t, stateOf(table, "a"), membership.StateSuspect)
 
 		healthy := tableOf("b")
-		healthy.Believe([]membership.Belief{{ID: "b", Epoch: 1, State: membership.StateDead, By: "c"}})
+		healthy.MergeBeliefs([]membership.Belief{{ID: "b", Epoch: 1, State: membership.StateDead, By: "c"}})
 		assert.Equal(t, stateOf(healthy, "b"), membership.StateSuspect)
 	})
 }
 
-// Reports are wrong about most of a service at once. Calls must still have
-// somewhere to go.
+// Most nodes of a service are falsely suspected at once. Calls must still have targets.
 func TestSuspicionNeverEmptiesAService(t *testing.T) {
 	table := tableOf("a", "b", "c", "d", "e")
 	for i, id := range []string{"a", "b", "c", "d", "e"} {
@@ -88,9 +88,9 @@
 	assert.Equal(t, table.CountReady(), 6)
 }
 
-// Two nodes of a large fleet differ in one record. Sending the whole table to
+// The tables of two nodes of a large fleet differ in one record. Sending the whole table to
 // repair it would cost half a megabyte each time.
-func TestRepairCostsWhatDiffers(t *testing.T) {
+func TestRepairTransfersOnlyDifferences(t *testing.T) {
 	const size = 4300
 
 	a, b := newTable(size), newTable(size)
@@ -107,23 +107,22 @@
 	assert.Equal(t, len(d.Push), 0)
 	assert.Equal(t, len(d.Want), 1)
 
-	a.Adopt("x", b.Pick(d.Want))
+	a.MergeCompared("x", b.RecordsByKey(d.Want))
 	assert.Equal(t, a.Hash(), b.Hash())
 }
 
-// The last node of a fleet leaves by a planned stop, and tells so: there is nobody
-// to tell, not even itself among the live.
-func TestTheLastNodeLeaves(t *testing.T) {
+// The last node of a fleet leaves. No peer remains, and the node itself is no longer live, so
+// the sets of live nodes are empty.
+func TestLastNodeCanLeave(t *testing.T) {
 	table := tableOf()
 	table.Update(func(r membership.Record) membership.Record { return r.WithState(membership.StateLeft) })
 	assert.Equal(t, len(table.Random(3)), 0)
 	assert.Equal(t, table.CountLive(), 0)
 }
 
-// A node is replaced under its address by one with another name, in another failure
-// domain. Who asks by address gets both until the old record is forgotten, and no node at
-// an address that nobody has any more.
-func TestNodesAreFoundByTheirAddress(t *testing.T) {
+// A node is replaced at its address by a node with another ID in another failure domain. A
+// lookup by address returns both until the old record is forgotten or gets another address.
+func TestNodesAreFoundByAddress(t *testing.T) {
 	table := membership.NewTable(record("a", 1), timeline.New())
 
 	old := record("b", 1)
@@ -131,28 +130,28 @@
 	next.PeerAddress, next.FailureDomain = old.PeerAddress, "derby"
 
 	table.Merge([]membership.Record{old, next})
-	assert.Equal(t, len(table.At([]string{old.PeerAddress})), 2)
+	assert.Equal(t, len(table.ByAddress([]string{old.PeerAddress})), 2)
 	assert.Assert(t, table.NearAt(old.PeerAddress))
 
 	moved := old
 	moved.Seq, moved.PeerAddress = 1, "b:7001"
 	table.Merge([]membership.Record{moved})
 
-	found := table.At([]string{old.PeerAddress})
+	found := table.ByAddress([]string{old.PeerAddress})
 	assert.Equal(t, len(found), 1)
 	assert.Equal(t, found[0].ID, "c")
 	assert.Assert(t, !table.NearAt(old.PeerAddress))
 	assert.Assert(t, table.LiveAt("b:7001"))
 }
 
-// A node tells others of a change, and each answers with the same change: as news it is
-// sent a dozen times only, and most of these went back to nodes that had just told it. Of
-// 200 nodes some then never heard that a backend server leaves, and went on sending it calls
-// until a comparison, for more than two seconds once in a hundred changes.
-func TestAnAnswerKeepsWhatTheQuestionBrought(t *testing.T) {
+// A node sends a change to peers, and each replies with the same change. Since a change is
+// sent only a dozen times, most transmissions went back to nodes that already knew it: of 200
+// nodes, some missed a draining backend server until a comparison, for more than two seconds
+// in one of a hundred changes.
+func TestReplyOmitsRecordsOfTheRequest(t *testing.T) {
 	table := tableOf("a", "b", "c")
 	for range 100 {
-		table.News(100, "b")
+		table.TakeChanges(100, "b")
 	}
 
 	assert.Assert(t, !table.Pending())
@@ -162,21 +161,21 @@
 	table.Merge([]membership.Record{changed})
 
 	for range 100 {
-		records, _ := table.News(100, "b", changed)
+		records, _ := table.TakeChanges(100, "b", changed)
 		assert.Equal(t, len(records), 0)
 	}
 
-	records, _ := table.News(100, "c")
+	records, _ := table.TakeChanges(100, "c")
 	assert.Assert(t, slices.Equal(records, []membership.Record{changed}))
 }
 
-// What was sent along is older than what is held here: the answer has to bring the news.
-func TestAnAnswerBringsWhatIsNewerThanTheQuestion(t *testing.T) {
+// The request carries an older record than the table: the reply must include the newer one.
+func TestReplyIncludesRecordsNewerThanTheRequest(t *testing.T) {
 	table := tableOf("a", "b")
 	changed := record("a", 1)
 	changed.Seq = 1
 	table.Merge([]membership.Record{changed})
 
-	records, _ := table.News(100, "b", record("a", 1))
+	records, _ := table.TakeChanges(100, "b", record("a", 1))
 	assert.Assert(t, slices.Contains(records, changed))
 }
