--- a/internal/membership/domains_test.go
+++ b/internal/membership/domains_test.go
@@ -53,7 +53,7 @@
 
 		return r
 	})
-	s.gossip.Tell(ctx)
+	s.gossip.SendChanges(ctx)
 }
 
 // waitForServing waits until every node sends calls to at most count nodes.
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -115,11 +115,11 @@
 	g.runQueuedProbes(ctx)
 
 	if g.table.Pending() {
-		g.Tell(ctx)
+		g.SendChanges(ctx)
 	}
 }
 
-// Tell sends pending changes to a few nodes of the local failure domain. A change of the
+// SendChanges sends pending changes to a few nodes of the local failure domain. A change of the
 // local record also goes to one node of each other failure domain; other changes go to one
 // of these nodes now and then.
 //
@@ -127,7 +127,7 @@
 // each. Instead, the node that a change is about sends it across, and random relays make up
 // for nodes that it could not reach. Relays are sampled anew in each round, so that no
 // single node is required.
-func (g *Gossip) Tell(ctx context.Context) {
+func (g *Gossip) SendChanges(ctx context.Context) {
 	otherDomains := g.table.Elsewhere()
 	if len(otherDomains) > 0 && !g.table.TakeSelfChanged() {
 		otherDomains = g.relayTarget(otherDomains)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -56,7 +56,7 @@
 		n.suspects.Stale()
 	}
 
-	go n.gossip.Tell(context.Background())
+	go n.gossip.SendChanges(context.Background())
 }
 
 func (n *Node) entryHandler() http.Handler {
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -184,7 +184,7 @@
 		return r
 	})
 
-	n.gossip.Tell(context.Background())
+	n.gossip.SendChanges(context.Background())
 }
 
 // leave tells the fleet and the store that this node leaves.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -256,7 +256,7 @@
 		return r
 	})
 
-	go n.gossip.Tell(context.Background())
+	go n.gossip.SendChanges(context.Background())
 }
 
 // Run serves until ctx ends, then drains and returns.
