--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -113,8 +113,8 @@
 	return ProbeAnswer{By: g.table.Self().ID, Answered: err == nil}, nil
 }
 
-// Doubt queues a probe of the node at an address after a call to it failed.
-func (g *Gossip) Doubt(address string) { g.probeQueue.add(address) }
+// ProbeSoon queues a probe of the node at an address after a call to it failed.
+func (g *Gossip) ProbeSoon(address string) { g.probeQueue.add(address) }
 
 // runQueuedProbes probes live nodes that calls could not reach, and dead nodes that are live
 // on other nodes. The probe carries the belief that the node is dead, so that it refutes it.
