--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -8,7 +8,7 @@
 // comes back from an older copy gives out the numbers of leases again; a renewal would be
 // another node's, so records are written again with leases of the new epoch.
 //
-//	r := discovery.New(store, table, gossip.Meet)
+//	r := discovery.New(store, table, gossip.Join)
 //	go r.Run(ctx)
 package discovery
 
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -159,8 +159,8 @@
 	return g.repair(ctx, address) == nil
 }
 
-// Meet joins through the node at an address and reports whether this succeeded.
-func (g *Gossip) Meet(ctx context.Context, address string) bool { return g.joinAddress(ctx, address) }
+// Join joins through the node at an address and reports whether this succeeded.
+func (g *Gossip) Join(ctx context.Context, address string) bool { return g.joinAddress(ctx, address) }
 
 // reconnect tries a dead node and a seed that is not live. After a network partition heals
 // this is required, because each side considers the other dead and no longer probes it.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -148,7 +148,7 @@
 
 	var running sync.WaitGroup
 
-	running.Go(func() { n.bootstrap.Run(work, n.gossip.Meet) })
+	running.Go(func() { n.bootstrap.Run(work, n.gossip.Join) })
 
 	for _, f := range []func(context.Context){n.gossip.Run, n.spreader.Run, n.expire, n.announceReady, n.runOnce} {
 		running.Go(func() { f(work) })
