--- a/internal/discovery/meet.go
+++ b/internal/discovery/meet.go
@@ -77,7 +77,7 @@
 	delete(byDomain, own)
 
 	if out.met > 0 {
-		for _, m := range r.table.Elsewhere() {
+		for _, m := range r.table.RandomPerOtherDomain() {
 			delete(byDomain, m.FailureDomain)
 		}
 	}
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -128,7 +128,7 @@
 // for nodes that it could not reach. Relays are sampled anew in each round, so that no
 // single node is required.
 func (g *Gossip) SendChanges(ctx context.Context) {
-	otherDomains := g.table.Elsewhere()
+	otherDomains := g.table.RandomPerOtherDomain()
 	if len(otherDomains) > 0 && !g.table.TakeSelfChanged() {
 		otherDomains = g.relayTarget(otherDomains)
 	}
@@ -173,7 +173,7 @@
 
 	var wg sync.WaitGroup
 
-	for _, target := range append(g.table.RandomNear(g.options.Fanout), g.table.Elsewhere()...) {
+	for _, target := range append(g.table.RandomNear(g.options.Fanout), g.table.RandomPerOtherDomain()...) {
 		wg.Go(func() { _ = g.exchange(ctx, target) })
 	}
 
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -20,7 +20,7 @@
 func (g *Gossip) probeRandom(ctx context.Context) {
 	targets := g.table.RandomNear(1)
 
-	if otherDomains := g.table.Elsewhere(); len(otherDomains) > 0 && rand.IntN(probesPerCrossDomain) == 0 {
+	if otherDomains := g.table.RandomPerOtherDomain(); len(otherDomains) > 0 && rand.IntN(probesPerCrossDomain) == 0 {
 		targets = randomOne(otherDomains)
 	}
 
--- a/internal/membership/random.go
+++ b/internal/membership/random.go
@@ -26,8 +26,8 @@
 	return t.sample(&t.live, count, exclude)
 }
 
-// Elsewhere returns a random live node of each other failure domain.
-func (t *Table) Elsewhere() []Record {
+// RandomPerOtherDomain returns a random live node of each other failure domain.
+func (t *Table) RandomPerOtherDomain() []Record {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 
