--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -100,7 +100,7 @@
 
 	links := []peer.Option{
 		peer.WithClock(n.recorder.Clock()), peer.WithLinks(n.faults), peer.Address(c.PeerAddress),
-		peer.Lost(func(address string) { n.gossip.Doubt(address) }), peer.Patient(n.draining.Leaving),
+		peer.Lost(func(address string) { n.gossip.ProbeSoon(address) }), peer.Patient(n.draining.Leaving),
 	}
 
 	if c.TLS != nil {
@@ -148,7 +148,7 @@
 
 	var running sync.WaitGroup
 
-	running.Go(func() { n.bootstrap.Run(work, n.gossip.Meet) })
+	running.Go(func() { n.bootstrap.Run(work, n.gossip.Join) })
 
 	for _, f := range []func(context.Context){n.gossip.Run, n.spreader.Run, n.expire, n.announceReady, n.runOnce} {
 		running.Go(func() { f(work) })
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -121,7 +121,7 @@
 	c := n.config
 	links := []peer.Option{
 		peer.WithClock(n.recorder.Clock()), peer.Address(c.PeerAddress), peer.WithDialTimeout(dialTimeout),
-		peer.Lost(func(address string) { n.gossip.Doubt(address) }), peer.Patient(n.draining.Leaving),
+		peer.Lost(func(address string) { n.gossip.ProbeSoon(address) }), peer.Patient(n.draining.Leaving),
 		peer.Exchanged(func(e peer.Exchange) { n.meter.Exchanged(e, n.table.NearAt(e.Address)) }),
 	}
 	n.server = peer.NewServer(links...)
@@ -138,7 +138,7 @@
 	n.gossip = membership.NewGossip(
 		n.table, n.client, membership.Version(n.holder.Number), membership.Hear(n.configsync.Hear), membership.WithEpochs(n.epoch),
 	)
-	n.discovery = discovery.New(n.store, n.table, n.gossip.Meet, n.recorder, c.FirstStart).WithEpoch(n.epoch)
+	n.discovery = discovery.New(n.store, n.table, n.gossip.Join, n.recorder, c.FirstStart).WithEpoch(n.epoch)
 	n.tombstone = tombstone.New(n.store, n.client, n.table).WithEpoch(n.epoch, n.recorder)
 }
 
@@ -256,7 +256,7 @@
 		return r
 	})
 
-	go n.gossip.Tell(context.Background())
+	go n.gossip.SendChanges(context.Background())
 }
 
 // Run serves until ctx ends, then drains and returns.
