--- a/internal/dispatch/balance_test.go
+++ b/internal/dispatch/balance_test.go
@@ -27,43 +27,43 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// beside runs calls in the queues of the fleet's nodes. Each call takes 140 ms in the
-// mean, differing as lengths of listings do, and longer where the node is slow.
-type beside struct {
-	queues map[string]*slots.Queue
-	speeds map[string]float64
-
-	mu      sync.Mutex
-	random  *rand.Rand
-	asks    int
-	crossed int
-	domains map[string]string // by address
+// simulatedBackends runs calls in the queues of the fleet's nodes. A call takes 140 ms on
+// average with a log-normal spread, and longer on a slow node.
+type simulatedBackends struct {
+	queues   map[string]*slots.Queue
+	slowness map[string]float64
+
+	mu          sync.Mutex
+	random      *rand.Rand
+	contacts    int
+	crossDomain int
+	domains     map[string]string // by address
 }
 
-// drawListing returns how long a listing takes where the node is so many times slower.
-func drawListing(r *rand.Rand, speed float64) time.Duration {
+// sampleServiceTime returns a random service time on a node that is slower by the given factor.
+func sampleServiceTime(r *rand.Rand, slowness float64) time.Duration {
 	const spread = 0.5
 
-	return time.Duration(float64(listingLength) * speed * math.Exp(spread*r.NormFloat64()-spread*spread/2))
+	return time.Duration(float64(meanServiceTime) * slowness * math.Exp(spread*r.NormFloat64()-spread*spread/2))
 }
 
-func (b *beside) held(address string, in forward.Request) time.Duration {
+func (b *simulatedBackends) serviceTime(address string, in forward.Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	b.asks++
+	b.contacts++
 
 	if b.domains[address] != in.Origin {
-		b.crossed++
+		b.crossDomain++
 	}
 
-	return drawListing(b.random, b.speeds[address])
+	return sampleServiceTime(b.random, b.slowness[address])
 }
 
-func (b *beside) run(ctx context.Context, address string, in forward.Request) (forward.Reply, error) {
-	const way = 500 * time.Microsecond
+func (b *simulatedBackends) run(ctx context.Context, address string, in forward.Request) (forward.Reply, error) {
+	const oneWayDelay = 500 * time.Microsecond
 
-	held := b.held(address, in)
+	serviceTime := b.serviceTime(address, in)
 	queue := b.queues[address]
 	now := time.Now()
 	w := slots.Work{
@@ -71,8 +71,8 @@
 		Nearby: in.Nearby,
 	}
 
-	time.Sleep(way)
-	defer time.Sleep(way)
+	time.Sleep(oneWayDelay)
+	defer time.Sleep(oneWayDelay)
 
 	slot, err := queue.Enter(ctx, w)
 	if err != nil {
@@ -88,15 +88,15 @@
 		return forward.Reply{Result: forward.Refused, Reason: reason, Load: b.load(queue, w)}, nil
 	}
 
-	time.Sleep(held)
-	slot.Leave(held)
+	time.Sleep(serviceTime)
+	slot.Leave(serviceTime)
 
 	return forward.Reply{
-		Result: forward.Answered, Status: http.StatusOK, HeldMs: held.Milliseconds(), Load: b.load(queue, w), Body: listing,
+		Result: forward.Answered, Status: http.StatusOK, HeldMs: serviceTime.Milliseconds(), Load: b.load(queue, w), Body: responseBody,
 	}, nil
 }
 
-func (b *beside) load(q *slots.Queue, w slots.Work) forward.Load {
+func (b *simulatedBackends) load(q *slots.Queue, w slots.Work) forward.Load {
 	l := q.Load()
 	out := forward.Load{Slots: l.Slots, Running: l.Running, Waiting: l.Waiting}
 
@@ -107,63 +107,65 @@
 	return out
 }
 
-// listing is the answer, as long as listings are.
-var listing = make([]byte, 1500)
-
-// played is a load on the backend servers of one failure domain.
-type played struct {
-	use      float64 // of what the backend servers can do
-	comeBack bool    // callers that are turned away come back once
-	differ   float64 // callers wait for so much of the longest time less, at the most
-	// hot is the part of the calls that begin in the first of two failure domains; 0 if
-	// there is but one.
-	hot float64
+// responseBody has a typical size.
+var responseBody = make([]byte, 1500)
+
+// workload is a load on the backend servers.
+type workload struct {
+	utilization   float64 // share of the capacity that the calls need
+	callersRetry  bool    // callers retry a rejected call once
+	timeoutSpread float64 // largest share by which a caller timeout is shorter than the route's
+	// hotShare is the share of the calls that arrive in the first of two failure domains; 0 if
+	// there is only one.
+	hotShare float64
 }
 
-// result is what callers got.
-type result struct {
-	asked, onTime, late, refused int
-	crossed                      int // asked in another failure domain
+// outcomeCounts counts calls by what their callers got.
+type outcomeCounts struct {
+	calls, onTime, late, rejected int
+	crossDomain                   int // nodes contacted in another failure domain
 }
 
-func (r result) share() float64 { return float64(r.onTime) / float64(r.asked) }
+func (r outcomeCounts) share() float64 { return float64(r.onTime) / float64(r.calls) }
 
 const (
-	listingLength  = 140 * time.Millisecond // in the mean
-	listingTarget  = 500 * time.Millisecond
-	listingTimeout = 1200 * time.Millisecond
+	meanServiceTime = 140 * time.Millisecond
+	callTarget      = 500 * time.Millisecond
+	routeTimeout    = 1200 * time.Millisecond
 )
 
-// The backend servers of a load that is played, and how long it lasts.
+// The simulated backend servers and the duration of the load.
 const (
 	loadNodes  = 12
 	loadSlots  = 6 // of each node
 	loadLength = 20 * time.Second
 )
 
-// loadSpeed is how many times longer calls take at a node.
-func loadSpeed(i int) float64 { return []float64{0.7, 0.7, 1.6}[i%3] }
+// nodeSlowness returns the factor by which calls take longer on a node.
+func nodeSlowness(i int) float64 { return []float64{0.7, 0.7, 1.6}[i%3] }
 
-// loadCapacity is how many calls a second end at all nodes.
+// loadCapacity returns the calls per second that all nodes can run together.
 func loadCapacity() float64 {
 	out := 0.0
 	for i := range loadNodes {
-		out += loadSlots / (listingLength.Seconds() * loadSpeed(i))
+		out += loadSlots / (meanServiceTime.Seconds() * nodeSlowness(i))
 	}
 
 	return out
 }
 
-// play sends calls to many entries, each of which sees a few replies a second of each
-// node, so what it knows of them is old.
-func (p played) play(t *testing.T) (result, *beside) {
+// simulate sends the calls of the workload to many entry nodes. Each sees only a few replies per
+// second from each node, so its view of their load is stale.
+func (p workload) simulate(t *testing.T) (outcomeCounts, *simulatedBackends) {
 	t.Helper()
 
 	const entries = 20
 
 	f := newFleet(loadNodes)
-	b := &beside{queues: map[string]*slots.Queue{}, speeds: map[string]float64{}, random: rand.New(rand.NewPCG(1, 2)), domains: map[string]string{}}
-	gap := float64(time.Second) / (p.use * loadCapacity())
+	b := &simulatedBackends{
+		queues: map[string]*slots.Queue{}, slowness: map[string]float64{}, random: rand.New(rand.NewPCG(1, 2)), domains: map[string]string{},
+	}
+	gap := float64(time.Second) / (p.utilization * loadCapacity())
 
 	for i, r := range f.records {
 		f.records[i].FailureDomain = p.domain(i)
@@ -171,21 +173,21 @@
 
 		q := slots.New()
 		q.Resize(loadSlots)
-		b.queues[r.PeerAddress], b.speeds[r.PeerAddress] = q, loadSpeed(i)
+		b.queues[r.PeerAddress], b.slowness[r.PeerAddress] = q, nodeSlowness(i)
 	}
 
 	f.reply = b.run
-	h := holder(t, func(r *route.Route) { r.Target, r.Timeout = listingTarget, listingTimeout })
+	h := holder(t, func(r *route.Route) { r.Target, r.Timeout = callTarget, routeTimeout })
 
 	var (
 		all []*dispatch.Dispatcher
 		wg  sync.WaitGroup
 		mu  sync.Mutex
-		out result
+		out outcomeCounts
 	)
 
 	for i := range entries {
-		all = append(all, p.entry(f, h, i))
+		all = append(all, p.newEntry(f, h, i))
 	}
 
 	for start, i := time.Now(), 0; time.Since(start) < loadLength; i++ {
@@ -196,17 +198,17 @@
 
 		wg.Go(func() {
 			began := time.Now()
-			r := p.call(t, all[p.pick(i, entries)], "id-"+strconv.Itoa(i), began)
+			r := p.call(t, all[p.entryFor(i, entries)], "id-"+strconv.Itoa(i), began)
 
 			mu.Lock()
 			defer mu.Unlock()
 
-			out.asked++
+			out.calls++
 
 			switch {
 			case r.Status != http.StatusOK:
-				out.refused++
-			case time.Since(began) <= listingTarget:
+				out.rejected++
+			case time.Since(began) <= callTarget:
 				out.onTime++
 			default:
 				out.late++
@@ -216,23 +218,23 @@
 
 	wg.Wait()
 
-	out.crossed = b.crossed
+	out.crossDomain = b.crossDomain
 	t.Logf("%+v, on time %.3f", out, out.share())
 
 	return out, b
 }
 
-// domain is the failure domain of a node or an entry.
-func (p played) domain(i int) string {
-	if p.hot > 0 && i%2 == 1 {
+// domain returns the failure domain of a node or an entry node.
+func (p workload) domain(i int) string {
+	if p.hotShare > 0 && i%2 == 1 {
 		return "leic"
 	}
 
 	return "derby"
 }
 
-// entry returns the dispatcher of an entry.
-func (p played) entry(f *fleet, h *route.Holder, i int) *dispatch.Dispatcher {
+// newEntry returns the dispatcher of an entry node.
+func (p workload) newEntry(f *fleet, h *route.Holder, i int) *dispatch.Dispatcher {
 	return dispatch.New(dispatch.Options{
 		Node: "e" + strconv.Itoa(i), FailureDomain: p.domain(i), Service: p.domain(i), Names: header.Default(), Tables: h, Members: f, Peers: f,
 		Placer: balancer.New(), Budget: retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}), Recorder: timeline.New(),
@@ -240,95 +242,95 @@
 	})
 }
 
-// pick chooses the entry of a call.
-func (p played) pick(i, entries int) int {
-	if p.hot == 0 {
+// entryFor picks the entry node of a call.
+func (p workload) entryFor(i, entries int) int {
+	if p.hotShare == 0 {
 		return i % entries
 	}
 
 	const every = 100
-	if float64(i%every) < p.hot*every {
+	if float64(i%every) < p.hotShare*every {
 		return (2 * i) % entries
 	}
 
 	return (2*i + 1) % entries
 }
 
-// call sends a call, and once more if the caller comes back, which it does after the
-// time that it was told, or after a third of what it has left.
-func (p played) call(t *testing.T, d *dispatch.Dispatcher, id string, began time.Time) ingress.Response {
+// call sends a call, and if the caller retries, one retry after the Retry-After time or a third
+// of the remaining time, whichever is shorter.
+func (p workload) call(t *testing.T, d *dispatch.Dispatcher, id string, began time.Time) ingress.Response {
 	t.Helper()
 
-	patience := time.Duration(float64(listingTimeout) * (1 - p.differ*float64(xxhash.Sum64String(id)%100)/100))
-	left := func() time.Duration { return patience - time.Since(began) }
-	stated := func() string { return strconv.FormatInt(left().Milliseconds(), 10) }
+	timeout := time.Duration(float64(routeTimeout) * (1 - p.timeoutSpread*float64(xxhash.Sum64String(id)%100)/100))
+	left := func() time.Duration { return timeout - time.Since(began) }
+	deadlineMs := func() string { return strconv.FormatInt(left().Milliseconds(), 10) }
 
-	r := send(d, "/safe/x", "Pollencart-Call", id, "Pollencart-Deadline-Ms", stated())
-	if r.Status != http.StatusServiceUnavailable || !p.comeBack {
+	r := send(d, "/safe/x", "Pollencart-Call", id, "Pollencart-Deadline-Ms", deadlineMs())
+	if r.Status != http.StatusServiceUnavailable || !p.callersRetry {
 		return r
 	}
 
 	time.Sleep(min(time.Duration(retryAfter(t, r)*float64(time.Second)), left()/3))
 
-	return send(d, "/safe/x", "Pollencart-Call", id+"-again", "Pollencart-Deadline-Ms", stated())
+	return send(d, "/safe/x", "Pollencart-Call", id+"-again", "Pollencart-Deadline-Ms", deadlineMs())
 }
 
-// Backend servers of one failure domain differ in speed and run nearly all that they
-// could. Calls that wait at full ones while others have free slots are late for it.
+// The backend servers of one failure domain differ in speed and run near capacity. Calls must
+// not wait at full ones, and so miss their target, while others have free slots.
 func TestCallsFindFreeSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, b := played{use: 0.95}.play(t)
-		asks := float64(b.asks) / float64(r.asked)
+		r, b := workload{utilization: 0.95}.simulate(t)
+		contacts := float64(b.contacts) / float64(r.calls)
 
-		t.Logf("%.2f nodes asked a call", asks)
+		t.Logf("%.2f nodes contacted per call", contacts)
 		assert.Assert(t, r.share() > 0.97)
-		assert.Assert(t, asks < 1.5)
+		assert.Assert(t, contacts < 1.5)
 	})
 }
 
-// Two thirds of the callers are in one of two failure domains, which its own backend
-// servers can't serve in time, while those of the other have slots to spare. Callers
-// there must not be late for the price of a crossing, nor may calls cross for nothing.
-func TestAHotFailureDomainSpills(t *testing.T) {
+// Two thirds of the callers are in one of two failure domains, whose own backend servers can't
+// serve them in time, while the other domain has free slots. The callers of
+// the overloaded domain must not miss their target to save cross-domain cost, nor may calls
+// cross without need.
+func TestOverloadedFailureDomainSpillsToAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, _ := played{use: 0.75, hot: 0.64}.play(t)
-		crossed := float64(r.crossed) / float64(r.asked)
+		r, _ := workload{utilization: 0.75, hotShare: 0.64}.simulate(t)
+		crossDomain := float64(r.crossDomain) / float64(r.calls)
 
-		t.Logf("%.2f crossed", crossed)
+		t.Logf("%.2f contacts in another failure domain per call", crossDomain)
 		assert.Assert(t, r.share() > 0.98)
-		assert.Assert(t, crossed < 0.06)
+		assert.Assert(t, crossDomain < 0.06)
 	})
 }
 
-// More calls come than the backend servers take, and callers that are turned away come
-// back. To them the target runs from their first attempt; a node that takes them for
-// new callers puts them behind others and answers them late.
-func TestCallersThatComeBack(t *testing.T) {
+// The load exceeds the capacity and callers retry rejected calls. Their target runs from the
+// first attempt; a node that handles retries as new calls queues them behind others and
+// answers them late.
+func TestCallerRetriesKeepTheirFirstArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, _ := played{use: 1.2, comeBack: true}.play(t)
+		r, _ := workload{utilization: 1.2, callersRetry: true}.simulate(t)
 		assert.Assert(t, r.share() > 0.7)
 	})
 }
 
-// Callers differ in how long they wait, and say so. Those of little patience are no
-// callers who come back: a node that takes them for such sends calls elsewhere, and turns
-// calls away, that would have been on time.
-func TestCallersOfDifferentPatience(t *testing.T) {
+// Callers send different timeouts. A node that takes a short timeout for a retry spills and
+// rejects calls that would have met their target.
+func TestShortCallerTimeoutsAreNotTakenForRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, _ := played{use: 0.95, hot: 0.5, differ: 0.25}.play(t)
-		crossed := float64(r.crossed) / float64(r.asked)
+		r, _ := workload{utilization: 0.95, hotShare: 0.5, timeoutSpread: 0.25}.simulate(t)
+		crossDomain := float64(r.crossDomain) / float64(r.calls)
 
-		t.Logf("%.3f crossed", crossed)
+		t.Logf("%.3f contacts in another failure domain per call", crossDomain)
 		assert.Assert(t, r.share() > 0.96)
-		assert.Assert(t, crossed < 0.13)
+		assert.Assert(t, crossDomain < 0.13)
 	})
 }
 
-// As with callers who come back, and all differ in patience: who waits is told by the
-// moment at which it gives up.
-func TestCallersOfDifferentPatienceThatComeBack(t *testing.T) {
+// Callers retry and differ in their timeouts. A retry must be detected by its deadline, not by
+// its short timeout.
+func TestCallerRetriesAreDetectedAcrossDifferentTimeouts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, _ := played{use: 1.2, comeBack: true, differ: 0.25}.play(t)
+		r, _ := workload{utilization: 1.2, callersRetry: true, timeoutSpread: 0.25}.simulate(t)
 		assert.Assert(t, r.share() > 0.7)
 	})
 }
--- a/internal/dispatch/bound_test.go
+++ b/internal/dispatch/bound_test.go
@@ -10,57 +10,57 @@
 	"gotest.tools/v3/assert"
 )
 
-// allKnown places calls as no fleet can: it sees every slot at no cost, keeps one queue for
-// all, and knows how fast each node is, though not how long a call will take. It starts the
-// oldest call that has its usual time left, so only a better order gives callers more.
-type allKnown struct {
-	slots   []knownSlot
-	waiting []time.Duration // when they came, the oldest first
-	onTime  int
+// oracle is an idealized scheduler: it sees every slot at no cost, keeps one queue for all nodes
+// and knows their speeds, but not how long a call will take. It starts the oldest call that
+// can still meet its target with the average service time, so only a better order beats it.
+type oracle struct {
+	slots    []oracleSlot
+	arrivals []time.Duration // arrival times of waiting calls, oldest first
+	onTime   int
 }
 
-// knownSlot is a slot of a node and from when on it is free.
-type knownSlot struct {
-	free  time.Duration
-	speed float64
+// oracleSlot is a slot of a node and the time from which it is free.
+type oracleSlot struct {
+	free     time.Duration
+	slowness float64
 }
 
-// bound returns the part of the calls that allKnown has answered by their target, of a load
-// of the kind that is played.
-func (p played) bound() float64 {
-	a := allKnown{slots: knownSlots()}
+// oracleShare returns the share of the calls that the oracle answers within their target, for a
+// workload of the same kind.
+func (p workload) oracleShare() float64 {
+	a := oracle{slots: newOracleSlots()}
 	random := rand.New(rand.NewPCG(1, 2))
-	gap := float64(time.Second) / (p.use * loadCapacity())
-	asked := 0
+	gap := float64(time.Second) / (p.utilization * loadCapacity())
+	calls := 0
 
-	for now := time.Duration(0); now < loadLength; asked++ {
+	for now := time.Duration(0); now < loadLength; calls++ {
 		now += time.Duration(random.ExpFloat64() * gap)
 		a.until(now, random)
-		a.waiting = append(a.waiting, now)
+		a.arrivals = append(a.arrivals, now)
 	}
 
-	a.until(loadLength+listingTarget, random)
+	a.until(loadLength+callTarget, random)
 
-	return float64(a.onTime) / float64(asked)
+	return float64(a.onTime) / float64(calls)
 }
 
-func knownSlots() []knownSlot {
-	var out []knownSlot
+func newOracleSlots() []oracleSlot {
+	var out []oracleSlot
 
 	for i := range loadNodes {
 		for range loadSlots {
-			out = append(out, knownSlot{speed: loadSpeed(i)})
+			out = append(out, oracleSlot{slowness: nodeSlowness(i)})
 		}
 	}
 
 	return out
 }
 
-// until starts the calls that wait, as slots get free, up to a time.
-func (a *allKnown) until(end time.Duration, random *rand.Rand) {
-	for len(a.waiting) > 0 {
+// until starts waiting calls as slots become free, up to a time.
+func (a *oracle) until(end time.Duration, random *rand.Rand) {
+	for len(a.arrivals) > 0 {
 		s := a.soonest()
-		now := max(s.free, a.waiting[0])
+		now := max(s.free, a.arrivals[0])
 
 		if now > end {
 			return
@@ -70,7 +70,7 @@
 	}
 }
 
-func (a *allKnown) soonest() *knownSlot {
+func (a *oracle) soonest() *oracleSlot {
 	out := &a.slots[0]
 
 	for i := range a.slots {
@@ -82,12 +82,12 @@
 	return out
 }
 
-// fastest returns the fastest of the slots that are free.
-func (a *allKnown) fastest(now time.Duration) *knownSlot {
+// fastest returns the fastest of the free slots.
+func (a *oracle) fastest(now time.Duration) *oracleSlot {
 	out := a.soonest()
 
 	for i := range a.slots {
-		if a.slots[i].free <= now && a.slots[i].speed < out.speed {
+		if a.slots[i].free <= now && a.slots[i].slowness < out.slowness {
 			out = &a.slots[i]
 		}
 	}
@@ -95,44 +95,44 @@
 	return out
 }
 
-// start gives the slot to the oldest call that would be on time there if it takes as long
-// as most do. The others are turned away.
-func (a *allKnown) start(s *knownSlot, now time.Duration, random *rand.Rand) {
-	usual := time.Duration(float64(listingLength) * s.speed)
-	a.waiting = slices.DeleteFunc(a.waiting, func(came time.Duration) bool { return now-came+usual > listingTarget })
+// start gives the slot to the oldest call that meets its target there with the average service
+// time. Calls that can no longer meet their target are rejected.
+func (a *oracle) start(s *oracleSlot, now time.Duration, random *rand.Rand) {
+	expected := time.Duration(float64(meanServiceTime) * s.slowness)
+	a.arrivals = slices.DeleteFunc(a.arrivals, func(came time.Duration) bool { return now-came+expected > callTarget })
 
-	if len(a.waiting) == 0 {
+	if len(a.arrivals) == 0 {
 		return
 	}
 
-	came := a.waiting[0]
-	a.waiting = a.waiting[1:]
-	s.free = now + drawListing(random, s.speed)
+	came := a.arrivals[0]
+	a.arrivals = a.arrivals[1:]
+	s.free = now + sampleServiceTime(random, s.slowness)
 
-	if s.free-came <= listingTarget {
+	if s.free-came <= callTarget {
 		a.onTime++
 	}
 }
 
-// Many entries see a few replies a second of each node, and more calls come than the backend
-// servers take. Callers must get as much as from one that sees every slot at each moment and
-// serves in the order of arrival; nearly as much while the slots just suffice. Without time to
-// spare in standing queues one call in eight that is started is late.
-func TestHowFarFromAPlacerThatKnowsAll(t *testing.T) {
+// Many entry nodes see a few replies per second from each node. Under overload, callers must
+// get as much as from the oracle, which sees every slot at each moment and serves in order of
+// arrival, and nearly as much at 95% utilization. Without extra time reserved in standing
+// queues, one started call in eight misses its target.
+func TestBalancingIsCloseToOracle(t *testing.T) {
 	for _, c := range []struct {
-		load played
-		part float64 // of what the other gets, at least
+		load     workload
+		minShare float64 // of the oracle's result
 	}{
-		{played{use: 0.95}, 0.98},
-		{played{use: 1.2, comeBack: true}, 1},
-		{played{use: 1.5, comeBack: true}, 1},
+		{workload{utilization: 0.95}, 0.98},
+		{workload{utilization: 1.2, callersRetry: true}, 1},
+		{workload{utilization: 1.5, callersRetry: true}, 1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			got, _ := c.load.play(t)
-			most := c.load.bound()
+			got, _ := c.load.simulate(t)
+			most := c.load.oracleShare()
 
-			t.Logf("%.2f of the slots: %.3f on time, %.3f if all were known", c.load.use, got.share(), most)
-			assert.Check(t, got.share() >= c.part*most)
+			t.Logf("utilization %.2f: %.3f on time, %.3f with the oracle", c.load.utilization, got.share(), most)
+			assert.Check(t, got.share() >= c.minShare*most)
 		})
 	}
 }
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -8,25 +8,25 @@
 	"github.com/pollencart/pollencart/internal/peer"
 )
 
-// candidates are the nodes that the call was not at.
-func (t *try) candidates() []balancer.Candidate {
-	reached := t.dispatcher.reach.of(t.request.Service)
-	out := make([]balancer.Candidate, 0, len(reached))
+// candidates returns the connected nodes that the call has not been attempted at.
+func (s *callState) candidates() []balancer.Candidate {
+	subset := s.dispatcher.subsets.forService(s.request.Service)
+	out := make([]balancer.Candidate, 0, len(subset))
 
-	for _, c := range reached {
-		if !slices.Contains(t.tried, c.ID) {
+	for _, c := range subset {
+		if !slices.Contains(s.attempted, c.ID) {
 			out = append(out, c)
 		}
 	}
 
-	return t.connected(out)
+	return s.connected(out)
 }
 
-// connected leaves out nodes to which there is no connection, and begins to make
-// one. A node that was not called yet is better than none; one whose link is down is
-// not: a call must not be what finds out that a route is dead, again and again.
-func (t *try) connected(all []balancer.Candidate) []balancer.Candidate {
-	peers := t.dispatcher.options.Peers
+// connected returns the nodes with an established connection, or, if there are none, those
+// without a connection attempt so far. It starts connecting to all others. A node whose link
+// is down is left out, so that calls don't pay for finding a broken link again and again.
+func (s *callState) connected(all []balancer.Candidate) []balancer.Candidate {
+	peers := s.dispatcher.options.Peers
 	ready := make([]balancer.Candidate, 0, len(all))
 
 	var fresh []balancer.Candidate
@@ -57,38 +57,41 @@
 	return ready
 }
 
-func (t *try) pick(candidates []balancer.Candidate) (balancer.Candidate, bool) {
+// pick chooses the next node. Elsewhere and Nearby in the request tell this node whether it may
+// decline the call in favor of another one.
+func (s *callState) pick(candidates []balancer.Candidate) (balancer.Candidate, bool) {
 	need := balancer.Need{
-		Route: t.route.Name, Rank: t.request.Rank, Target: t.worthIn(), Deadline: t.left(), Bytes: len(t.request.Body),
-		Idempotent: t.request.Idempotent, Tried: t.busy,
+		Route: s.route.Name, Rank: s.request.Rank, Target: s.timeToTarget(), Deadline: s.remaining(), Bytes: len(s.request.Body),
+		Idempotent: s.request.Idempotent, Tried: s.declined,
 	}
-	placer := t.dispatcher.options.Placer
+	placer := s.dispatcher.options.Placer
 
 	c, ok := placer.Pick(candidates, need)
-	if !ok && len(t.busy) > 0 {
-		// All have been asked whether they would be in time. The cheapest of them
-		// takes the call all the same, if it can end before the deadline.
+	if !ok && len(s.declined) > 0 {
+		// All candidates declined the call. The one with the lowest cost gets it without the
+		// option to decline, if the call can still end before its deadline.
 		need.Tried = nil
-		t.busy = nil
+		s.declined = nil
 		c, ok = placer.Pick(candidates, need)
-		t.request.Elsewhere, t.request.Nearby = false, false
+		s.request.Elsewhere, s.request.Nearby = false, false
 
-		return c, ok && t.outcome.Asked < maxAsked
+		return c, ok && s.outcome.Asked < maxContacted
 	}
 
-	t.request.Elsewhere = len(candidates)-len(t.busy) > 1 && t.outcome.Asked+2 < maxAsked
-	t.request.Nearby = t.outcome.Asked == 0 && t.nearby(candidates, c)
+	s.request.Elsewhere = len(candidates)-len(s.declined) > 1 && s.outcome.Asked+2 < maxContacted
+	s.request.Nearby = s.outcome.Asked == 0 && s.hasNearbyAlternative(candidates, c)
 
 	return c, ok
 }
 
-// cheapBody is the longest body, in bytes, that is sent once more to find a free slot.
-const cheapBody = 4 << 10
+// maxNearbyBody is the longest body, in bytes, that is sent a second time to find a free slot.
+const maxNearbyBody = 4 << 10
 
-// nearby reports whether a call that was at no node yet may look for a free slot at another
-// node of the failure domain, which costs no more than its body there.
-func (t *try) nearby(candidates []balancer.Candidate, chosen balancer.Candidate) bool {
-	if !chosen.Near || len(t.request.Body) > cheapBody {
+// hasNearbyAlternative reports whether the chosen node may decline the call because another
+// node in the same failure domain may have a free slot. Such a move costs no cross-domain
+// traffic, only the transfer of the body.
+func (s *callState) hasNearbyAlternative(candidates []balancer.Candidate, chosen balancer.Candidate) bool {
+	if !chosen.Near || len(s.request.Body) > maxNearbyBody {
 		return false
 	}
 
@@ -97,12 +100,12 @@
 	})
 }
 
-// worthIn is the time in which the answer is worth something to the caller: until the
-// target, or until the deadline once that is missed.
-func (t *try) worthIn() time.Duration {
-	if left := time.Until(t.target); left > 0 {
-		return left
+// timeToTarget returns the time until the call's target, or until its deadline once the target
+// has passed.
+func (s *callState) timeToTarget() time.Duration {
+	if remaining := time.Until(s.target); remaining > 0 {
+		return remaining
 	}
 
-	return t.left()
+	return s.remaining()
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,14 +1,13 @@
-// Package dispatch takes a call from its caller to its final answer: it finds the
-// route, chooses a node, hands the call over, and decides whether it is sent once
-// more.
+// Package dispatch handles a call from its arrival to its final response: it matches the
+// route, picks a node, forwards the call and decides whether to retry it.
 //
-// What may be repeated follows from the route. An idempotent call may be sent
-// again after any failure, another one only if it surely did not run. A node that
-// turns a call away has not passed it on, so asking the next one costs no budget;
-// what reached a backend server does.
+// The route decides what may be retried. An idempotent call is retried after any failure,
+// any other call only if it certainly did not run. A node that rejects a call has not passed
+// it to a backend server, so contacting the next node is free; a retry of a call that reached
+// a backend server takes from the retry budget.
 //
-// The final answer comes at once when the call is given up: 503 with a time to come
-// back if it did not run, 502 or 504 if nobody knows.
+// A call that fails gets its response at once: 503 with a Retry-After header if it did not
+// run, 502 or 504 if it may have run.
 //
 // # Usage
 //
@@ -33,58 +32,59 @@
 )
 
 const (
-	// noTableRetry is when to come back to a node that holds no version yet: it
-	// asks the store every tenth of a second.
-	noTableRetry = 300 * time.Millisecond
-	// noNodeRetry is when to come back if nobody serves the service; who does is
-	// known within half a second of a restart.
-	noNodeRetry = 250 * time.Millisecond
-	// stoppingRetry is when to come back after a refusal by a node that is being stopped:
-	// callers who are led elsewhere are served there at once, and nobody knows when the next
-	// process is ready.
-	stoppingRetry = 100 * time.Millisecond
-	// maxAsked bounds the nodes that are asked for one call. After that a busy
-	// service is not made busier by asking around.
-	maxAsked = 4
-	// leastTime is too short for another node to bring an answer.
-	leastTime = 5 * time.Millisecond
+	// noConfigRetryAfter is the Retry-After of a node without configuration, which polls
+	// the store every 100 ms.
+	noConfigRetryAfter = 300 * time.Millisecond
+	// noBackendRetryAfter is the Retry-After if no node serves the service. After a restart,
+	// all nodes learn within 500 ms which nodes serve it.
+	noBackendRetryAfter = 250 * time.Millisecond
+	// drainingRetryAfter is the Retry-After of a draining node. It is short because callers
+	// that are directed to another node are served there at once, and the time until the
+	// next process of this node is ready is unknown.
+	drainingRetryAfter = 100 * time.Millisecond
+	// maxContacted limits the nodes contacted for one call, so that searching for a free
+	// slot adds little load to a busy service.
+	maxContacted = 4
+	// minRetryTime is the least remaining time with which another node can still respond.
+	minRetryTime = 5 * time.Millisecond
 )
 
 // Dispatcher answers calls.
 type Dispatcher struct {
-	options   Options
-	splitter  *splitter
-	returning *returning
-	reach     *reach
+	options       Options
+	splitter      *splitter
+	retryDetector *retryDetector
+	subsets       *subsets
 }
 
 // New returns a dispatcher.
 func New(o Options) *Dispatcher {
-	return &Dispatcher{options: o, splitter: newSplitter(), returning: newReturning(), reach: newReach(o)}
+	return &Dispatcher{options: o, splitter: newSplitter(), retryDetector: newRetryDetector(), subsets: newSubsets(o)}
 }
 
 var _ ingress.Handler = (*Dispatcher)(nil)
 
-// Outcome is what a caller got, and why.
+// Outcome is the response that a caller got, with its cause.
 type Outcome struct {
 	ID      string
 	Route   string
 	Status  int
 	Reason  string
-	Sent    int           // to backend servers
-	Asked   int           // nodes
-	Waited  time.Duration // by the caller before this attempt, as far as can be told
+	Sent    int           // attempts that may have reached a backend server
+	Asked   int           // nodes contacted
+	Waited  time.Duration // since the caller's first attempt, if this is a detected retry
 	Node    string
 	Took    time.Duration
 	Version uint64
-	// Stopping says that the node was being stopped when the call came. Connected is how
-	// old its connection was, Ahead how many earlier calls of it had no answer.
+	// Stopping reports that this node was draining when the call arrived. Connected is
+	// the age of the caller's connection at that time, Ahead the number of earlier calls
+	// on it without a response.
 	Stopping  bool
 	Connected time.Duration
 	Ahead     int
 }
 
-// Serve answers one call.
+// Serve handles one call and implements [ingress.Handler].
 func (d *Dispatcher) Serve(ctx context.Context, r ingress.Request) ingress.Response {
 	o := Outcome{ID: r.Header.Get(d.options.Names.Call)}
 	if o.ID == "" {
@@ -98,7 +98,7 @@
 	response := d.serve(ctx, r, &o)
 	response.Call = o.ID
 	o.Status, o.Took = response.Status, time.Since(r.Arrived)
-	d.tell(ctx, o)
+	d.record(ctx, o)
 
 	return response
 }
@@ -106,67 +106,66 @@
 func (d *Dispatcher) serve(ctx context.Context, r ingress.Request, o *Outcome) ingress.Response {
 	table := d.options.Tables.Load()
 	if table == nil {
-		return d.refuse(o, "no version is held yet", noTableRetry)
+		return d.reject(o, "no version is held yet", noConfigRetryAfter)
 	}
 
 	o.Version = table.Version()
 
-	found, ok := table.Match(r.Host, r.Path)
+	matched, ok := table.Match(r.Host, r.Path)
 	if !ok {
 		o.Reason = "no route takes the request"
 
-		return d.own(o, http.StatusNotFound)
+		return d.localResponse(o, http.StatusNotFound)
 	}
 
-	o.Route = found.Name
+	o.Route = matched.Name
 
-	stated := d.stated(r)
-	c := caller{first: r.Arrived, deadline: r.Arrived.Add(stated)}
-	patience := found.Timeout
+	callerTimeout := d.callerTimeout(r)
+	current := waitingCaller{firstArrival: r.Arrived, deadline: r.Arrived.Add(callerTimeout)}
+	timeLimit := matched.Timeout
 
-	if stated > 0 {
-		patience = min(patience, stated-min(callerWay, stated/callerWayPart))
-		c = d.returning.recall(r, c)
-		o.Waited = r.Arrived.Sub(c.first)
+	if callerTimeout > 0 {
+		timeLimit = min(timeLimit, callerTimeout-min(callerRoundTrip, callerTimeout/callerRoundTripDivisor))
+		current = d.retryDetector.match(r, current)
+		o.Waited = r.Arrived.Sub(current.firstArrival)
 	}
 
-	limit := r.Arrived.Add(patience)
-	if !d.options.Intake.Takes(limit) {
-		return d.refuse(o, "not run: this node is being stopped", stoppingRetry)
+	callDeadline := r.Arrived.Add(timeLimit)
+	if !d.options.Intake.Takes(callDeadline) {
+		return d.reject(o, "not run: this node is being stopped", drainingRetryAfter)
 	}
 
-	ctx, cancel := context.WithDeadline(ctx, limit)
+	ctx, cancel := context.WithDeadline(ctx, callDeadline)
 	defer cancel()
 
-	c.service = d.splitter.pick(found, c.service)
-	d.options.Budget.First(c.service)
+	current.service = d.splitter.pick(matched, current.service)
+	d.options.Budget.First(current.service)
 
-	t := &try{
-		dispatcher: d, ctx: ctx, route: found, outcome: o, target: r.Arrived.Add(min(found.Target-o.Waited, patience)),
+	state := &callState{
+		dispatcher: d, ctx: ctx, route: matched, outcome: o, target: r.Arrived.Add(min(matched.Target-o.Waited, timeLimit)),
 		request: forward.Request{
-			ID: o.ID, Service: c.service, Route: found.Name, Origin: d.options.Service, Method: r.Method, Host: r.Host, URI: r.URI,
-			Header: d.options.Names.Forwarded(r.Header), Body: r.Body, Idempotent: found.Idempotent, Rank: found.Priority,
+			ID: o.ID, Service: current.service, Route: matched.Name, Origin: d.options.Service, Method: r.Method, Host: r.Host, URI: r.URI,
+			Header: d.options.Names.Forwarded(r.Header), Body: r.Body, Idempotent: matched.Idempotent, Rank: matched.Priority,
 		},
 	}
 
-	response := t.run()
-	if stated > 0 && response.Status >= http.StatusInternalServerError {
-		d.returning.note(r, c)
+	response := state.run()
+	if callerTimeout > 0 && response.Status >= http.StatusInternalServerError {
+		d.retryDetector.remember(r, current)
 	}
 
 	return response
 }
 
-// callerWay is the way to a caller and back, for which its own clock runs as well:
-// some ten milliseconds. An answer of this node that takes longer comes too late.
+// callerRoundTrip is the network round trip to a caller. The caller's clock runs during it,
+// so the node responds this much before the caller timeout ends.
 const (
-	callerWay     = 20 * time.Millisecond
-	callerWayPart = 20 // of what the caller says, at most
+	callerRoundTrip        = 20 * time.Millisecond
+	callerRoundTripDivisor = 20 // at most this fraction of the caller timeout
 )
 
-// stated is how long the caller says that it waits, or 0 if it does not say, or nothing
-// that can be read.
-func (d *Dispatcher) stated(r ingress.Request) time.Duration {
+// callerTimeout returns the timeout that the caller sent, or 0 if there is no valid one.
+func (d *Dispatcher) callerTimeout(r ingress.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(d.options.Names.Deadline), 10, 64)
 	if err != nil || ms <= 0 {
 		return 0
@@ -175,11 +174,11 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// refuse answers a call that has not run and will not.
-func (d *Dispatcher) refuse(o *Outcome, reason string, after time.Duration) ingress.Response {
+// reject returns the response to a call that did not run and will not be attempted again.
+func (d *Dispatcher) reject(o *Outcome, reason string, after time.Duration) ingress.Response {
 	o.Reason = reason
 
-	response := d.own(o, http.StatusServiceUnavailable)
+	response := d.localResponse(o, http.StatusServiceUnavailable)
 	response.Header = append(response.Header, call.Field{
 		Name: "Retry-After", Value: strconv.FormatFloat(after.Seconds(), 'f', 3, 64),
 	})
@@ -187,8 +186,8 @@
 	return response
 }
 
-// own makes an answer of this node's own.
-func (d *Dispatcher) own(o *Outcome, status int) ingress.Response {
+// localResponse returns a response that this node makes itself, with the reason as its body.
+func (d *Dispatcher) localResponse(o *Outcome, status int) ingress.Response {
 	return ingress.Response{
 		Status: status,
 		Header: []call.Field{
@@ -199,7 +198,8 @@
 	}
 }
 
-func (d *Dispatcher) tell(ctx context.Context, o Outcome) {
+// record reports the outcome to the meter and to the timeline.
+func (d *Dispatcher) record(ctx context.Context, o Outcome) {
 	if d.options.Meter != nil {
 		d.options.Meter.Answered(o)
 	}
@@ -215,13 +215,14 @@
 		e = event.CallFailed
 	}
 
-	d.options.Recorder.Record(e, timeline.Entry{Call: o.ID, Peer: o.Node, Version: o.Version, Detail: o.text()})
+	d.options.Recorder.Record(e, timeline.Entry{Call: o.ID, Peer: o.Node, Version: o.Version, Detail: o.detail()})
 }
 
-func (o Outcome) text() string {
-	const usual = 96
+// detail formats the outcome as the Detail of its event.
+func (o Outcome) detail() string {
+	const typicalSize = 96
 
-	b := make([]byte, 0, usual)
+	b := make([]byte, 0, typicalSize)
 	b = append(b, "status "...)
 	b = strconv.AppendInt(b, int64(o.Status), 10)
 	b = append(b, " route "...)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -19,63 +19,63 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-func TestACallIsAnswered(t *testing.T) {
+func TestCallIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3)
 		r := send(newDispatcher(f, holder(t)), "/once/x")
 		assert.Equal(t, r.Status, http.StatusOK)
 		assert.Equal(t, string(r.Body), "whole")
-		assert.Equal(t, len(f.asked), 1)
+		assert.Equal(t, len(f.contacted), 1)
 	})
 }
 
-// A backend server failed an upload, and its caller complains. The line of the node that
-// the caller reached is no sample of many.
-func TestAFailureOfTheBackendServerHasItsLine(t *testing.T) {
+// A backend server answers a non-idempotent call with an error. The entry node must record
+// each such call, since its caller may ask about it; only successful calls are sampled.
+func TestBackendServerFailureIsRecorded(t *testing.T) {
 	f := newFleet(1)
 	f.reply = func(context.Context, string, forward.Request) (forward.Reply, error) {
 		return forward.Reply{Result: forward.Answered, Status: http.StatusGatewayTimeout}, nil
 	}
 
 	recorder := timeline.New()
-	r := send(recorded(f, holder(t), recorder), "/once/x")
+	r := send(newRecordedDispatcher(f, holder(t), recorder), "/once/x")
 	assert.Equal(t, r.Status, http.StatusGatewayTimeout)
 
-	told := recorder.Entries(timeline.Filter{Call: "id-1"})
-	assert.Equal(t, len(told), 1)
-	assert.Equal(t, told[0].Name, event.CallFailed.Name)
+	entries := recorder.Entries(timeline.Filter{Call: "id-1"})
+	assert.Equal(t, len(entries), 1)
+	assert.Equal(t, entries[0].Name, event.CallFailed.Name)
 }
 
-// An upload was handed over and its answer was lost. Nobody knows whether it ran, so
-// it is never sent again, and the caller isn't told that it did not run.
-func TestAnUploadThatMayHaveRunIsNotSentAgain(t *testing.T) {
+// The answer to a non-idempotent call is lost. It may have run, so it must not be sent again,
+// and the caller must not get a response that says that it did not run.
+func TestNonIdempotentCallThatMayHaveRunIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, reply := range []forward.Reply{{Result: forward.Lost}, {Result: forward.Answered, Status: http.StatusInternalServerError}} {
 			f := newFleet(3)
 			f.reply = func(context.Context, string, forward.Request) (forward.Reply, error) { return reply, nil }
 			r := send(newDispatcher(f, holder(t)), "/once/x")
-			assert.Equal(t, len(f.asked), 1)
+			assert.Equal(t, len(f.contacted), 1)
 			assert.Assert(t, r.Status == http.StatusBadGateway || r.Status == http.StatusInternalServerError)
 		}
 	})
 }
 
-// The connection to the node broke after the upload was sent on it.
-func TestAnUploadOnABrokenConnection(t *testing.T) {
+// The connection to the node breaks after a non-idempotent call was sent on it.
+func TestNonIdempotentCallOnBrokenConnectionIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3)
 		f.reply = func(context.Context, string, forward.Request) (forward.Reply, error) {
 			return forward.Reply{}, peer.ErrBroken
 		}
 		r := send(newDispatcher(f, holder(t)), "/once/x")
-		assert.Equal(t, len(f.asked), 1)
+		assert.Equal(t, len(f.contacted), 1)
 		assert.Equal(t, r.Status, http.StatusBadGateway)
 	})
 }
 
-// A node turned the call away, or could not be reached. It has not run and goes to
-// another, uploads too.
-func TestWhatDidNotRunGoesElsewhere(t *testing.T) {
+// A node is unreachable, so the call did not run. It goes to another node, even if it is not
+// idempotent.
+func TestCallThatDidNotRunGoesToAnotherNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first := true
 		f := newFleet(3)
@@ -90,26 +90,26 @@
 		}
 		r := send(newDispatcher(f, holder(t)), "/once/x")
 		assert.Equal(t, r.Status, http.StatusOK)
-		assert.Equal(t, len(f.asked), 2)
-		assert.Assert(t, f.asked[0] != f.asked[1])
+		assert.Equal(t, len(f.contacted), 2)
+		assert.Assert(t, f.contacted[0] != f.contacted[1])
 	})
 }
 
-// The first node that is asked has a queue. One other node nearby is asked for a free slot; the
-// call takes what it finds there, also a wait, since asking on for each call of a busy service
-// would cost more than it gains. A large body is not sent twice for that, and no call leaves
-// its failure domain for it.
-func TestAFreeSlotNearbyIsLookedForOnce(t *testing.T) {
+// The first node has a queue, and one other node of the same failure domain is contacted for a
+// free slot. The call waits there if there is none, since contacting more nodes of a busy
+// service costs more than it gains. Large bodies are not sent twice for this, and no call
+// leaves its failure domain for it.
+func TestOneOtherNodeIsContactedForFreeSlot(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(f *fleet)
 		body   int
 		nearby []bool
 	}{
-		{"others near", func(*fleet) {}, 100, []bool{true, false}},
+		{"others in the same failure domain", func(*fleet) {}, 100, []bool{true, false}},
 		{"a large body", func(*fleet) {}, 5 << 10, []bool{false}},
-		{"nobody else", func(f *fleet) { f.records = f.records[:1] }, 100, []bool{false}},
-		{"others far", func(f *fleet) {
+		{"no other node", func(f *fleet) { f.records = f.records[:1] }, 100, []bool{false}},
+		{"others in another failure domain", func(f *fleet) {
 			f.records[1].FailureDomain, f.records[2].FailureDomain = "leic", "leic"
 			f.dead[f.records[1].PeerAddress], f.dead[f.records[2].PeerAddress] = true, true
 		}, 100, []bool{false}},
@@ -132,7 +132,7 @@
 			assert.Equal(t, r.Status, http.StatusOK)
 
 			var nearby []bool
-			for _, in := range f.seen {
+			for _, in := range f.requests {
 				nearby = append(nearby, in.Nearby)
 			}
 
@@ -141,8 +141,8 @@
 	}
 }
 
-// A folder open fails at one backend server and is answered by another one.
-func TestAnIdempotentCallIsSentAgain(t *testing.T) {
+// An idempotent call fails at one backend server and succeeds at another one.
+func TestFailedIdempotentCallIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first := true
 		f := newFleet(3)
@@ -159,8 +159,8 @@
 	})
 }
 
-// Every backend server fails. A call reaches as many as its route allows, and the
-// caller gets the last one's answer.
+// Every backend server fails. A call gets the number of attempts that its route allows, and the
+// caller gets the last error response.
 func TestAttemptsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(5)
@@ -170,13 +170,13 @@
 		r := send(newDispatcher(f, holder(t)), "/safe/x")
 		assert.Equal(t, r.Status, http.StatusInternalServerError)
 		assert.Equal(t, string(r.Body), "theirs")
-		assert.Equal(t, len(f.asked), 2)
+		assert.Equal(t, len(f.contacted), 2)
 	})
 }
 
-// Every node is too busy. The caller is told at once that the call has not run, and
-// when to come back.
-func TestARefusalSaysWhenToComeBack(t *testing.T) {
+// Every node rejects the call. The caller must get an immediate 503 with the Retry-After time
+// of the nodes.
+func TestRejectionCarriesRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3)
 		f.reply = func(context.Context, string, forward.Request) (forward.Reply, error) {
@@ -190,8 +190,9 @@
 	})
 }
 
-// No backend server of the service is known: waiting would not help.
-func TestNobodyServes(t *testing.T) {
+// No backend server of the service is known. Waiting doesn't help, so the call is rejected at
+// once.
+func TestServiceWithoutBackendServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := send(newDispatcher(newFleet(0), holder(t)), "/safe/x")
 		assert.Equal(t, r.Status, http.StatusServiceUnavailable)
@@ -199,8 +200,9 @@
 	})
 }
 
-// A process that has just started knows no route. It must not say that there is none.
-func TestNoVersionYet(t *testing.T) {
+// A process without configuration knows no routes. It must respond with a retryable 503, not
+// with 404.
+func TestNodeWithoutConfigurationRejectsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := send(newDispatcher(newFleet(3), &route.Holder{}), "/safe/x")
 		assert.Equal(t, r.Status, http.StatusServiceUnavailable)
@@ -208,15 +210,15 @@
 	})
 }
 
-func TestNoRoute(t *testing.T) {
+func TestUnknownRoute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		assert.Equal(t, send(newDispatcher(newFleet(3), holder(t)), "/other").Status, http.StatusNotFound)
 	})
 }
 
-// The node does not answer. The caller has its final answer when the route's time is
-// over, and the node was given no more time than that.
-func TestTheTimeOfTheRoute(t *testing.T) {
+// The node doesn't answer. The caller gets the final response when the route's timeout ends,
+// and the node gets no more than that time.
+func TestRouteTimeoutBoundsCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1)
 		f.reply = func(ctx context.Context, _ string, _ forward.Request) (forward.Reply, error) {
@@ -228,52 +230,52 @@
 		r := send(newDispatcher(f, holder(t)), "/safe/x", "Pollencart-Deadline-Ms", "60000")
 		assert.Equal(t, r.Status, http.StatusGatewayTimeout)
 		assert.Equal(t, time.Since(start), time.Second)
-		assert.Assert(t, f.seen[0].RemainingMs <= 1000)
+		assert.Assert(t, f.requests[0].RemainingMs <= 1000)
 	})
 }
 
-// A call that is sent once more has less time left, and says so.
-func TestTheTimeHandedOnIsWhatIsLeft(t *testing.T) {
+// A retry must carry the remaining time, not the original one.
+func TestRetryCarriesRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3)
 		f.reply = func(ctx context.Context, a string, in forward.Request) (forward.Reply, error) {
 			time.Sleep(300 * time.Millisecond)
 
-			if len(f.asked) == 1 {
+			if len(f.contacted) == 1 {
 				return forward.Reply{Result: forward.Lost}, nil
 			}
 
 			return answered(ctx, a, in)
 		}
 		send(newDispatcher(f, holder(t)), "/safe/x", "Pollencart-Deadline-Ms", "800")
-		assert.Equal(t, len(f.seen), 2)
-		assert.Assert(t, f.seen[0].RemainingMs <= 800)
-		assert.Assert(t, f.seen[1].RemainingMs <= 500)
+		assert.Equal(t, len(f.requests), 2)
+		assert.Assert(t, f.requests[0].RemainingMs <= 800)
+		assert.Assert(t, f.requests[1].RemainingMs <= 500)
 	})
 }
 
-// Callers may send headers by which they would pass for another service, choose an
-// instance, or make their request look like an answer.
-func TestForgedHeadersAreNotPassedOn(t *testing.T) {
+// Callers may send headers with which they would impersonate another service, choose an
+// instance or make their request look like an answer.
+func TestForgedHeadersAreNotForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1)
 		send(newDispatcher(f, holder(t)), "/safe/x", "Pollencart-Caller", "root", "Pollencart-Expected-Instance", "i-9",
 			"Pollencart-Signature", "s", "Connection", "X-Hop", "X-Hop", "1", "X-Mine", "2")
 
 		var names []string
-		for _, h := range f.seen[0].Header {
+		for _, h := range f.requests[0].Header {
 			names = append(names, h.Name)
 		}
 
 		assert.Equal(t, strings.Join(names, ","), "X-Mine")
-		assert.Equal(t, f.seen[0].Origin, "finder")
-		assert.Equal(t, f.seen[0].URI, "/safe/x?q")
+		assert.Equal(t, f.requests[0].Origin, "finder")
+		assert.Equal(t, f.requests[0].URI, "/safe/x?q")
 	})
 }
 
-// A node to which there is no connection is not what a call waits for while others
-// are there; a connection is made beside it.
-func TestACallDoesNotWaitForAConnection(t *testing.T) {
+// A call must not wait for a new connection while other nodes are connected. The missing
+// connection is opened in the background.
+func TestCallDoesNotWaitForConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
 		f.dead["a0"] = true
@@ -283,7 +285,7 @@
 			send(d, "/safe/x")
 		}
 
-		for _, a := range f.asked {
+		for _, a := range f.contacted {
 			assert.Equal(t, a, "a1")
 		}
 
@@ -291,10 +293,10 @@
 	})
 }
 
-// A node that is being stopped has little processor time left, and its links look
-// silent while backend servers work at its calls. Giving these up would cut off what a
-// planned stop has to finish; and a call that has nowhere else to go gains nothing.
-func TestCallsAreNotGivenUpDuringAPlannedStop(t *testing.T) {
+// A draining node has little CPU time left, so its links look silent while backend servers run
+// its calls. Abandoning these would cut off calls that the drain must finish. A call that no
+// other node can take gains nothing from being abandoned.
+func TestCallsAreNotAbandonedWhileDraining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
 			nodes   int
@@ -308,41 +310,42 @@
 			}
 
 			send(newDispatcher(f, holder(t)), c.path)
-			assert.Equal(t, f.elsewhere, c.want, "%v", c)
+			assert.Equal(t, f.elsewhereCalls, c.want, "%v", c)
 		}
 	})
 }
 
-// A failure domain is cut off and none of its own backend servers has the service. The
-// caller is told at once, not after a connection attempt.
-func TestAllLinksAreDown(t *testing.T) {
+// A failure domain is cut off and has no backend server of the service. The caller must get the
+// response at once, not after a connection attempt.
+func TestCallIsRejectedWhenAllLinksAreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
 		f.dead["a0"], f.dead["a1"] = true, true
 		r := send(newDispatcher(f, holder(t)), "/once/x")
 		assert.Equal(t, r.Status, http.StatusServiceUnavailable)
-		assert.Equal(t, len(f.asked), 0)
+		assert.Equal(t, len(f.contacted), 0)
 		assert.Equal(t, len(f.opened), 2)
 	})
 }
 
-// One node knows that the request ended two backend servers and refuses it. Another one
-// may not have heard of it: asked next, it ran the request and lost the third.
-func TestASuspectIsNotTakenElsewhere(t *testing.T) {
+// One node knows that the request was running in two crashes of backend servers and refuses
+// it. Another node may not know of the crashes yet, would run the request and lose a third
+// backend server.
+func TestSuspectedCallIsNotSentToAnotherNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(3)
 		f.reply = func(context.Context, string, forward.Request) (forward.Reply, error) {
 			return forward.Reply{Result: forward.Suspected, Reason: "poison.refused", RetryMs: 600_000}, nil
 		}
 		r := send(newDispatcher(f, holder(t)), "/safe/x")
-		assert.Equal(t, len(f.asked), 1)
+		assert.Equal(t, len(f.contacted), 1)
 		assert.Equal(t, r.Status, http.StatusServiceUnavailable)
 	})
 }
 
-// The answer of an idempotent call is lost in a crash, and it goes to another node, which
-// is told of the crash by the call.
-func TestTheNextNodeIsToldOfACrash(t *testing.T) {
+// The answer to an idempotent call is lost in a crash of the backend server. The retry must
+// report the crash to the next node.
+func TestRetryReportsCrashToNextNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		crash := call.Crash{Gate: "a#1", Number: 1, Address: "a"}
 		f := newFleet(3)
@@ -350,7 +353,7 @@
 			return forward.Reply{Result: forward.Lost, Crashes: []call.Crash{crash}}, nil
 		}
 		send(newDispatcher(f, holder(t)), "/safe/x")
-		assert.Equal(t, len(f.seen), 2)
-		assert.DeepEqual(t, f.seen[1].Crashes, []call.Crash{crash})
+		assert.Equal(t, len(f.requests), 2)
+		assert.DeepEqual(t, f.requests[1].Crashes, []call.Crash{crash})
 	})
 }
--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -23,18 +23,18 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// fleet is what the dispatcher knows of other nodes, and what they do.
+// fleet simulates the membership view of the dispatcher and the other nodes.
 type fleet struct {
 	mu      sync.Mutex
 	records []membership.Record
 	dead    map[string]bool // no connection
 	opened  []string
-	// elsewhere counts calls that are given up when their link is in doubt.
-	elsewhere int
-	intake    *drain.Intake
-	asked     []string
-	seen      []forward.Request
-	reply     func(ctx context.Context, address string, in forward.Request) (forward.Reply, error)
+	// elsewhereCalls counts calls that may be abandoned once their link is in doubt.
+	elsewhereCalls int
+	intake         *drain.Intake
+	contacted      []string
+	requests       []forward.Request
+	reply          func(ctx context.Context, address string, in forward.Request) (forward.Reply, error)
 }
 
 func (f *fleet) Serving(service string) []membership.Record {
@@ -65,8 +65,8 @@
 	request := in.(forward.Request)
 
 	f.mu.Lock()
-	f.asked = append(f.asked, address)
-	f.seen = append(f.seen, request)
+	f.contacted = append(f.contacted, address)
+	f.requests = append(f.requests, request)
 	f.mu.Unlock()
 
 	reply, err := f.reply(ctx, address, request)
@@ -77,7 +77,7 @@
 
 func (f *fleet) DoElsewhere(ctx context.Context, address string, l peer.Lane, method string, in, out any) error {
 	f.mu.Lock()
-	f.elsewhere++
+	f.elsewhereCalls++
 	f.mu.Unlock()
 
 	return f.Do(ctx, address, l, method, in, out)
@@ -126,10 +126,10 @@
 }
 
 func newDispatcher(f *fleet, h *route.Holder) *dispatch.Dispatcher {
-	return recorded(f, h, timeline.New())
+	return newRecordedDispatcher(f, h, timeline.New())
 }
 
-func recorded(f *fleet, h *route.Holder, r *timeline.Recorder) *dispatch.Dispatcher {
+func newRecordedDispatcher(f *fleet, h *route.Holder, r *timeline.Recorder) *dispatch.Dispatcher {
 	return dispatch.New(dispatch.Options{
 		Node: "me", FailureDomain: "derby", Service: "finder", Names: header.Default(), Tables: h, Members: f, Peers: f, Own: nil,
 		Placer: balancer.New(), Budget: retrybudget.New(retrybudget.Bound{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}), Recorder: r,
--- a/internal/dispatch/options.go
+++ b/internal/dispatch/options.go
@@ -14,45 +14,47 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Members gives the nodes whose backend server takes calls of a service.
+// Members is the membership view.
 type Members interface {
-	// Serving returns the same slice until something changes, and never changes one.
+	// Serving returns the nodes whose backend server accepts calls of the service. It
+	// returns the same slice until the set changes, and never modifies a returned slice.
 	Serving(service string) []membership.Record
 	CountLive() int
 }
 
-// Peers hands calls to other nodes.
+// Peers sends calls to other nodes.
 type Peers interface {
 	Do(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error
-	// DoElsewhere is Do for a call that may go to another node as well.
+	// DoElsewhere is Do for a call that another node can take: the call is abandoned once
+	// the link is in doubt.
 	DoElsewhere(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error
-	// Link tells what is known of a connection, Open begins to make one.
+	// Link returns the state of a connection. Open starts connecting.
 	Link(address string, lane peer.Lane) peer.Link
 	Open(address string, lane peer.Lane)
 }
 
-// Runner runs a call on the backend server of this host.
+// Runner runs a call on the local backend server.
 type Runner interface {
 	Serve(ctx context.Context, in forward.Request) (forward.Reply, error)
 }
 
-// Tables gives the routing in force.
+// Tables provides the active routing table, or nil before the first one.
 type Tables interface {
 	Load() *route.Table
 }
 
-// Meter counts what callers get.
+// Meter counts responses and retries.
 type Meter interface {
 	Answered(o Outcome)
-	// Repeated counts a call that might be sent once more, and whether it is.
+	// Repeated counts a call that qualifies for a retry, and whether the budget allows it.
 	Repeated(service string, allowed bool)
 }
 
-// Intake says what a node that is being stopped still takes.
+// Intake decides which calls a draining node still accepts.
 type Intake interface {
-	// Leaving reports whether a planned stop of this node began.
+	// Leaving reports whether this node is draining.
 	Leaving() bool
-	// Takes reports whether a call is taken that may last until its time limit.
+	// Takes reports whether a call that may last until its time limit is accepted.
 	Takes(limit time.Time) bool
 }
 
@@ -60,7 +62,7 @@
 type Options struct {
 	Node          string
 	FailureDomain string
-	// Service is that of the backend server on this host, where calls begin.
+	// Service is the service of the local backend server, the origin of the calls.
 	Service  string
 	Names    header.Names
 	Tables   Tables
--- a/internal/dispatch/reach.go
+++ b/internal/dispatch/reach.go
@@ -11,65 +11,66 @@
 	"github.com/pollencart/pollencart/internal/membership"
 )
 
-// maxFar is how many nodes of other failure domains a node calls for a service. With
-// all of them each node would hold connections to all others; with few, a call that
-// its own failure domain has no room for still finds the better of several.
-const maxFar = 6
-
-// reach is which nodes this one calls for each service. It is worked out when who serves
-// a service changes, not for each call: with hundreds of backend servers that took longer
-// than all else that an entry does for a call.
-type reach struct {
+// maxOtherDomainNodes limits the nodes of other failure domains that a node calls for a
+// service. Calling all of them would connect each node to all others; a few still give a call
+// that its own failure domain has no capacity for a choice between several.
+const maxOtherDomainNodes = 6
+
+// subsets caches for each service the subset of its nodes that this node calls. A subset is
+// computed when the nodes of the service change, not for each call: with hundreds of backend
+// servers, that took longer than the rest of the entry node's work on a call.
+type subsets struct {
 	node, failureDomain string
 	members             Members
 
 	mu       sync.Mutex
-	services map[string]reached
+	services map[string]subset
 }
 
-// reached are the nodes to call, and the records that they follow from.
-type reached struct {
+// subset is the nodes to call and the membership records that it was computed from.
+type subset struct {
 	records    []membership.Record
 	candidates []balancer.Candidate
 }
 
-func newReach(o Options) *reach {
-	return &reach{node: o.Node, failureDomain: o.FailureDomain, members: o.Members, services: map[string]reached{}}
+func newSubsets(o Options) *subsets {
+	return &subsets{node: o.Node, failureDomain: o.FailureDomain, members: o.Members, services: map[string]subset{}}
 }
 
-// of returns the nodes that are called for a service: those of the own failure domain and
-// a few others, which differ from node to node, so that all are called by somebody. The
-// slice is shared and must not be changed.
-func (r *reach) of(service string) []balancer.Candidate {
+// forService returns the nodes to call for a service: all nodes of the same failure domain and
+// a few others. Those differ between nodes, so that every node is called by some. The slice is
+// shared and must not be modified.
+func (r *subsets) forService(service string) []balancer.Candidate {
 	records := r.members.Serving(service)
 
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if known, ok := r.services[service]; ok && same(known.records, records) {
-		return known.candidates
+	if cached, ok := r.services[service]; ok && sameSnapshot(cached.records, records) {
+		return cached.candidates
 	}
 
 	candidates := r.choose(records)
-	r.services[service] = reached{records: records, candidates: candidates}
+	r.services[service] = subset{records: records, candidates: candidates}
 
 	return candidates
 }
 
-// same reports whether two snapshots are one. They are never changed once made.
-func same(a, b []membership.Record) bool {
+// sameSnapshot reports whether a and b are the same slice. Snapshots are immutable, so
+// comparing the first element's address suffices.
+func sameSnapshot(a, b []membership.Record) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func (r *reach) choose(records []membership.Record) []balancer.Candidate {
-	type placed struct {
+func (r *subsets) choose(records []membership.Record) []balancer.Candidate {
+	type ranked struct {
 		balancer.Candidate
-		distance uint64
+		rank uint64
 	}
 
 	var (
-		out []balancer.Candidate // near ones first
-		far []placed
+		chosen      []balancer.Candidate // same failure domain first
+		otherDomain []ranked
 	)
 
 	for _, m := range records {
@@ -77,20 +78,20 @@
 			ID: m.ID, Address: m.PeerAddress, Slots: m.Upstream.Slots, Near: m.FailureDomain == r.failureDomain, Own: m.ID == r.node,
 		}
 		if c.Near {
-			out = append(out, c)
+			chosen = append(chosen, c)
 		} else {
-			far = append(far, placed{c, r.distance(m.ID)})
+			otherDomain = append(otherDomain, ranked{c, r.rank(m.ID)})
 		}
 	}
 
-	slices.SortFunc(far, func(a, b placed) int { return cmp.Compare(a.distance, b.distance) })
+	slices.SortFunc(otherDomain, func(a, b ranked) int { return cmp.Compare(a.rank, b.rank) })
 
-	for _, p := range far[:min(len(far), maxFar)] {
-		out = append(out, p.Candidate)
+	for _, p := range otherDomain[:min(len(otherDomain), maxOtherDomainNodes)] {
+		chosen = append(chosen, p.Candidate)
 	}
 
-	return out
+	return chosen
 }
 
-// distance orders nodes differently at each node.
-func (r *reach) distance(id string) uint64 { return xxhash.Sum64String(r.node + "/" + id) }
+// rank returns a pseudo-random sort key that differs between nodes for the same ID.
+func (r *subsets) rank(id string) uint64 { return xxhash.Sum64String(r.node + "/" + id) }
--- a/internal/dispatch/reach_test.go
+++ b/internal/dispatch/reach_test.go
@@ -17,9 +17,9 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// large is a dispatcher that knows so many backend servers of a service, a sixth of them
-// in its own failure domain.
-func large(tb testing.TB, nodes int) (*dispatch.Dispatcher, *fleet, *membership.Table) {
+// newLargeFleet returns a dispatcher with a membership view of the given number of nodes, a
+// sixth of them in its own failure domain.
+func newLargeFleet(tb testing.TB, nodes int) (*dispatch.Dispatcher, *fleet, *membership.Table) {
 	tb.Helper()
 
 	const domains = 6
@@ -47,52 +47,52 @@
 	}
 }
 
-// A service has hundreds of backend servers. If each call goes over all of them, hosts
-// spend more of their processors on choosing than on the call, and callers wait for it.
-func TestACallCostsTheSameWithHundredsOfBackendServers(t *testing.T) {
+// A service has hundreds of backend servers. If each call iterated over all of them, choosing
+// would take more CPU time than the rest of the call and delay callers.
+func TestAllocationsDoNotGrowWithBackendServers(t *testing.T) {
 	const calls = 200
 
 	allocations := func(nodes int) float64 {
-		d, _, _ := large(t, nodes)
+		d, _, _ := newLargeFleet(t, nodes)
 		send(d, "/safe/x")
 
 		return testing.AllocsPerRun(calls, func() { send(d, "/safe/x") })
 	}
 
 	few, many := allocations(36), allocations(360)
-	t.Logf("%.0f allocations a call with 36 backend servers, %.0f with 360", few, many)
+	t.Logf("%.0f allocations per call with 36 backend servers, %.0f with 360", few, many)
 	assert.Assert(t, many <= 1.5*few, "%.0f with 360, %.0f with 36", many, few)
 }
 
-// A backend server that leaves gets no more calls, and one that joins gets some, though
-// whom a node calls is not worked out anew for each call.
-func TestWhoIsCalledFollowsWhoServes(t *testing.T) {
-	d, f, table := large(t, 6)
+// The cached subset must follow membership changes: a draining backend server gets no more
+// calls, and a new one gets some.
+func TestSubsetFollowsMembershipChanges(t *testing.T) {
+	d, f, table := newLargeFleet(t, 6)
 
 	called := func(address string) bool {
-		f.asked = nil
+		f.contacted = nil
 		for range 200 {
 			send(d, "/safe/x")
 		}
 
-		return slices.Contains(f.asked, address)
+		return slices.Contains(f.contacted, address)
 	}
 
 	assert.Assert(t, called("a0"))
 
-	gone := serving(0, 6)
-	gone.Seq, gone.Upstream.State = 1, membership.UpstreamDraining
-	table.Merge([]membership.Record{gone})
-	assert.Assert(t, !called("a0"), "a backend server that left was called")
+	draining := serving(0, 6)
+	draining.Seq, draining.Upstream.State = 1, membership.UpstreamDraining
+	table.Merge([]membership.Record{draining})
+	assert.Assert(t, !called("a0"), "a draining backend server was called")
 
 	table.Merge([]membership.Record{serving(12, 6)})
-	assert.Assert(t, called("a12"), "a backend server that joined was not called")
+	assert.Assert(t, called("a12"), "a new backend server was not called")
 }
 
 func BenchmarkCall(b *testing.B) {
 	for _, nodes := range []int{36, 360} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
-			d, _, _ := large(b, nodes)
+			d, _, _ := newLargeFleet(b, nodes)
 			b.ReportAllocs()
 
 			for b.Loop() {
--- a/internal/dispatch/returning.go
+++ b/internal/dispatch/returning.go
@@ -10,46 +10,47 @@
 )
 
 const (
-	// sameDeadline is how far apart the deadlines of two attempts of one caller may be:
-	// the way from a caller differs by some milliseconds from one connection to the next,
-	// and a new one takes another round trip, of 16 ms where callers are farthest away.
-	sameDeadline = 20 * time.Millisecond
-	// maxFailed bounds what is remembered: a node of a third of a core turns away some
-	// thousand calls a second at the most, and callers wait for a few seconds.
-	maxFailed = 8192
-	// sweepEvery is the pause between looks for callers whose time is up.
-	sweepEvery = time.Second
+	// deadlineTolerance is the largest difference between the deadlines of two attempts of
+	// one caller. Network delay varies by some milliseconds between connections, and a new
+	// connection takes another round trip, 16 ms for the most distant callers.
+	deadlineTolerance = 20 * time.Millisecond
+	// maxFailedCalls limits the stored callers. A node with a third of a core rejects at
+	// most some thousand calls per second, and callers wait for a few seconds.
+	maxFailedCalls = 8192
+	// sweepInterval is the time between removals of callers whose deadline has passed.
+	sweepInterval = time.Second
 )
 
-// returning tells how long a caller has waited before it sent a call.
+// retryDetector detects that a call is the retry of a failed one, to find out how long its
+// caller has been waiting.
 //
-// A caller that was turned away comes back. To it the target runs from its first
-// attempt; taken for a new call, it would be put behind those that came meanwhile and be
-// on time for the node alone.
+// The target of a rejected call runs from the caller's first attempt. If its retry were
+// handled as a new call, it would queue behind calls that came meanwhile and meet only the
+// node's view of the target, not the caller's.
 //
-// Nothing in a call says that it is a second attempt. But it is the same request, and
-// its caller gives up at the same moment as before: what it states that it still waits
-// has shrunk by the time that went by. Callers differ in how long they wait, so a short
-// time alone tells nothing: taken for time gone by, it sends calls across failure domains
-// that could have stayed (TestCallersOfDifferentPatience, TestCallersThatComeBack).
-type returning struct {
-	mu     sync.Mutex
-	failed map[uint64][]caller
-	count  int
-	swept  time.Time
+// A call carries no mark of a retry, but it is the same request and has the same deadline:
+// its caller timeout has shrunk by the time that passed. A short timeout alone proves nothing,
+// since callers differ in it. Treating it as elapsed time sends calls across failure domains
+// that could have stayed (TestShortCallerTimeoutsAreNotTakenForRetries,
+// TestCallerRetriesKeepTheirFirstArrival).
+type retryDetector struct {
+	mu        sync.Mutex
+	failed    map[uint64][]waitingCaller
+	count     int
+	lastSweep time.Time
 }
 
-// caller is what is known of who waits for a call.
-type caller struct {
-	first    time.Time // when its first attempt came
-	deadline time.Time // when it gives up
-	service  string    // to which it was dealt; empty before
+// waitingCaller describes the caller of a call.
+type waitingCaller struct {
+	firstArrival time.Time // arrival of its first attempt
+	deadline     time.Time // when the caller times out
+	service      string    // destination chosen for it; empty if not chosen yet
 }
 
-func newReturning() *returning { return &returning{failed: map[uint64][]caller{}} }
+func newRetryDetector() *retryDetector { return &retryDetector{failed: map[uint64][]waitingCaller{}} }
 
-// sameRequest is equal for attempts of one caller.
-func sameRequest(r ingress.Request) uint64 {
+// requestHash returns the same value for all attempts of one caller.
+func requestHash(r ingress.Request) uint64 {
 	h := xxhash.New()
 
 	for _, part := range []string{r.Method, "\x00", r.Host, "\x00", r.URI, "\x00"} {
@@ -61,10 +62,9 @@
 	return h.Sum64()
 }
 
-// recall returns what is remembered of the caller if it has been here with the same
-// request, or what is known of it now. What was remembered is forgotten: each failure
-// brings a caller back once.
-func (t *returning) recall(r ingress.Request, c caller) caller {
+// match returns and removes the stored state of the caller if the call is a retry. Otherwise
+// it returns c.
+func (t *retryDetector) match(r ingress.Request, c waitingCaller) waitingCaller {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
@@ -72,11 +72,11 @@
 		return c
 	}
 
-	request := sameRequest(r)
+	hash := requestHash(r)
 
-	for i, f := range t.failed[request] {
-		if f.deadline.Sub(c.deadline).Abs() <= sameDeadline {
-			t.forget(request, i)
+	for i, f := range t.failed[hash] {
+		if f.deadline.Sub(c.deadline).Abs() <= deadlineTolerance {
+			t.forget(hash, i)
 
 			return f
 		}
@@ -85,50 +85,50 @@
 	return c
 }
 
-// note remembers a caller whose call ended without success.
-func (t *returning) note(r ingress.Request, c caller) {
+// remember stores the caller of a failed call.
+func (t *retryDetector) remember(r ingress.Request, c waitingCaller) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 
 	t.sweep(time.Now())
 
-	if t.count >= maxFailed {
-		return // callers who come back are taken for new ones
+	if t.count >= maxFailedCalls {
+		return // further retries are handled as new calls
 	}
 
-	request := sameRequest(r)
-	t.failed[request] = append(t.failed[request], c)
+	hash := requestHash(r)
+	t.failed[hash] = append(t.failed[hash], c)
 	t.count++
 }
 
-// sweep forgets callers who do not wait any more.
-func (t *returning) sweep(now time.Time) {
-	if now.Sub(t.swept) < sweepEvery {
+// sweep removes callers whose deadline has passed.
+func (t *retryDetector) sweep(now time.Time) {
+	if now.Sub(t.lastSweep) < sweepInterval {
 		return
 	}
 
-	t.swept = now
+	t.lastSweep = now
 
-	for request, all := range t.failed {
+	for hash, all := range t.failed {
 		for i := len(all) - 1; i >= 0; i-- {
 			if all[i].deadline.Before(now) {
-				t.forget(request, i)
+				t.forget(hash, i)
 			}
 		}
 	}
 }
 
-func (t *returning) forget(request uint64, i int) {
-	all := t.failed[request]
+func (t *retryDetector) forget(hash uint64, i int) {
+	all := t.failed[hash]
 	all[i] = all[len(all)-1]
 	all = all[:len(all)-1]
 	t.count--
 
 	if len(all) == 0 {
-		delete(t.failed, request)
+		delete(t.failed, hash)
 
 		return
 	}
 
-	t.failed[request] = all
+	t.failed[hash] = all
 }
--- a/internal/dispatch/split.go
+++ b/internal/dispatch/split.go
@@ -7,36 +7,36 @@
 	"github.com/pollencart/pollencart/internal/route"
 )
 
-// splitter deals the calls of a route to its destinations in exact proportion:
-// after any number of calls each destination is less than one call off its share.
-// Dealing at random would be off by a tenth in a hundred calls.
+// splitter distributes the calls of a route over its destinations in exact proportion: at any
+// time each destination is less than one call off its share. Random choice would be off by
+// about 10% after 100 calls.
 //
-// It looks at nothing but the weights. A destination that is short of room turns
-// calls away; moving them to another would undo what the operator weighed.
+// Only the weights count. Calls that a destination rejects for lack of capacity don't move to
+// another one, since that would override the operator's weights.
 type splitter struct {
 	mu     sync.Mutex
-	routes map[string]*deal
+	routes map[string]*roundRobin
 }
 
-// deal is the state of one route's smooth weighted round robin.
-type deal struct {
+// roundRobin is a smooth weighted round robin over the destinations of one route.
+type roundRobin struct {
 	destinations []route.Destination
 	credit       []int
 }
 
-func newSplitter() *splitter { return &splitter{routes: map[string]*deal{}} }
+func newSplitter() *splitter { return &splitter{routes: map[string]*roundRobin{}} }
 
-// A caller who comes back goes where it was dealt before. Dealt anew, half of those that
-// one of two destinations had no room for would end at the other, and that one would get
-// up to three quarters of the callers.
-func (s *splitter) pick(r *route.Route, before string) string {
+// pick returns the destination of a call. The retry of a caller keeps its previous destination:
+// if one of two equally weighted destinations had no capacity and retries were distributed
+// anew, the other would get up to three quarters of the callers.
+func (s *splitter) pick(r *route.Route, previous string) string {
 	if len(r.Destinations) == 1 {
 		return r.Destinations[0].Service
 	}
 
 	for _, d := range r.Destinations {
-		if d.Service == before && d.Weight > 0 {
-			return before
+		if d.Service == previous && d.Weight > 0 {
+			return previous
 		}
 	}
 
@@ -44,18 +44,18 @@
 	defer s.mu.Unlock()
 
 	d := s.routes[r.Name]
-	if d == nil || !d.fits(r) {
-		d = newDeal(r)
+	if d == nil || !d.matches(r) {
+		d = newRoundRobin(r)
 		s.routes[r.Name] = d
 	}
 
 	return d.next()
 }
 
-func newDeal(r *route.Route) *deal {
-	d := &deal{destinations: r.Destinations, credit: make([]int, len(r.Destinations))}
+func newRoundRobin(r *route.Route) *roundRobin {
+	d := &roundRobin{destinations: r.Destinations, credit: make([]int, len(r.Destinations))}
 
-	// Nodes that start together must not all begin with the same destination.
+	// A random start keeps nodes that start together from choosing the same destination first.
 	for range rand.IntN(d.total()) {
 		d.next()
 	}
@@ -63,7 +63,7 @@
 	return d
 }
 
-func (d *deal) total() int {
+func (d *roundRobin) total() int {
 	total := 0
 	for _, x := range d.destinations {
 		total += x.Weight
@@ -72,7 +72,7 @@
 	return total
 }
 
-func (d *deal) fits(r *route.Route) bool {
+func (d *roundRobin) matches(r *route.Route) bool {
 	if len(d.destinations) != len(r.Destinations) {
 		return false
 	}
@@ -86,7 +86,7 @@
 	return true
 }
 
-func (d *deal) next() string {
+func (d *roundRobin) next() string {
 	best := 0
 
 	for i, x := range d.destinations {
--- a/internal/dispatch/split_test.go
+++ b/internal/dispatch/split_test.go
@@ -14,9 +14,9 @@
 	"github.com/pollencart/pollencart/internal/route"
 )
 
-// A route leads to two services by 90 and 10, and one of them turns calls away. Its
-// share is not moved to the other.
-func TestWeightsAreExact(t *testing.T) {
+// A route splits calls 90:10 between two services and one of them rejects its calls. Its share
+// must not move to the other.
+func TestWeightsAreExactWhenOneServiceRejects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
 		f.records[1].Upstream.Service = "ledger"
@@ -37,7 +37,7 @@
 
 		ledger := 0
 
-		for _, r := range f.seen {
+		for _, r := range f.requests {
 			if r.Service == "ledger" {
 				ledger++
 			}
@@ -47,9 +47,9 @@
 	})
 }
 
-// One of two services has no room, and its callers come back a while later. They must not
-// end at the other service, which would get more than its share then.
-func TestCallersWhoComeBackKeepTheirPart(t *testing.T) {
+// One of two services has no capacity and its callers retry later. Their retries must go to the
+// same service, or the other one would get more than its share.
+func TestCallerRetriesKeepTheirDestination(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
 		f.records[1].Upstream.Service = "ledger"
@@ -83,8 +83,8 @@
 	})
 }
 
-// The nodes are stopped and started in turn. Each deals its own calls anew from where it
-// begins, and all together still deal them as they are weighed.
+// Nodes are restarted one after the other. Each starts its round robin at a random position, and
+// the calls of all nodes together must still follow the weights.
 func TestWeightsHoldAcrossRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2)
@@ -104,7 +104,7 @@
 
 		ledger := 0
 
-		for _, r := range f.seen {
+		for _, r := range f.requests {
 			if r.Service == "ledger" {
 				ledger++
 			}
--- a/internal/dispatch/try.go
+++ b/internal/dispatch/try.go
@@ -16,12 +16,12 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// wayBack is kept of the time that a node gets, so that its word on a call that it
-// turns away arrives before this node gives up not knowing.
-const wayBack = 3 * time.Millisecond
+// replyMargin is subtracted from the time given to a node, so that its rejection arrives
+// before this node times out and has to treat the call as possibly run.
+const replyMargin = 3 * time.Millisecond
 
-// try is one call on its way through nodes.
-type try struct {
+// callState is the state of one call across all nodes contacted for it.
+type callState struct {
 	dispatcher *Dispatcher
 	ctx        context.Context //nolint:containedctx // lives as long as the call
 	route      *route.Route
@@ -29,134 +29,134 @@
 	outcome    *Outcome
 	target     time.Time
 
-	tried []string
-	busy  []string // turned the call away for others to take
-	last  forward.Reply
-	// failed is the answer of a backend server that failed an idempotent call. It
-	// is given to the caller if no other one does better.
-	failed *forward.Reply
-	// others is how many nodes are left that could take the call.
-	others int
-	// lost is set once nobody knows whether an attempt ran.
-	lost bool
+	attempted []string
+	declined  []string // rejected the call in favor of other nodes
+	lastReply forward.Reply
+	// failedReply is the error response of a backend server to an idempotent call. The
+	// caller gets it if no other attempt succeeds.
+	failedReply *forward.Reply
+	// otherCandidates is the number of further nodes that could take the call.
+	otherCandidates int
+	// mayHaveRun is set once it is unknown whether an attempt ran.
+	mayHaveRun bool
 }
 
-func (t *try) run() ingress.Response {
-	for t.outcome.Asked < maxAsked {
-		candidates := t.candidates()
+func (s *callState) run() ingress.Response {
+	for s.outcome.Asked < maxContacted {
+		candidates := s.candidates()
 
-		chosen, ok := t.pick(candidates)
+		chosen, ok := s.pick(candidates)
 		if !ok {
 			break
 		}
 
-		t.others = len(candidates) - 1
-		reply := t.ask(chosen)
+		s.otherCandidates = len(candidates) - 1
+		reply := s.contact(chosen)
 
-		if t.settled(reply) {
-			return t.answer(reply)
+		if s.isFinal(reply) {
+			return s.response(reply)
 		}
 
-		if !t.goOn(reply) {
+		if !s.shouldRetry(reply) {
 			break
 		}
 	}
 
-	return t.giveUp()
+	return s.failureResponse()
 }
 
-// ask hands the call to a node and notes what came of it.
-func (t *try) ask(c balancer.Candidate) forward.Reply {
-	d := t.dispatcher
-	t.outcome.Asked++
-	t.outcome.Node = c.ID
+// contact sends the call to a node and records the result.
+func (s *callState) contact(c balancer.Candidate) forward.Reply {
+	d := s.dispatcher
+	s.outcome.Asked++
+	s.outcome.Node = c.ID
 
-	if deadline, ok := t.ctx.Deadline(); ok {
-		t.request.RemainingMs = (time.Until(deadline) - wayBack).Milliseconds()
+	if deadline, ok := s.ctx.Deadline(); ok {
+		s.request.RemainingMs = (time.Until(deadline) - replyMargin).Milliseconds()
 	}
 
-	t.request.TargetMs = time.Until(t.target).Milliseconds()
+	s.request.TargetMs = time.Until(s.target).Milliseconds()
 
-	attempt := d.options.Placer.Start(c.ID, t.route.Name)
-	reply, err := t.send(c)
-	result := t.resultOf(reply, err)
+	attempt := d.options.Placer.Start(c.ID, s.route.Name)
+	reply, err := s.send(c)
+	result := s.classify(reply, err)
 
 	if attempt.End(result, reply) {
-		d.options.Recorder.Record(event.GateAvoided, timeline.Entry{Call: t.request.ID, Peer: c.ID, Detail: reply.Reason})
+		d.options.Recorder.Record(event.GateAvoided, timeline.Entry{Call: s.request.ID, Peer: c.ID, Detail: reply.Reason})
 	}
 
-	t.note(c, reply)
+	s.recordReply(c, reply)
 
 	return reply
 }
 
-// note keeps what the choice of the next node depends on.
-func (t *try) note(c balancer.Candidate, reply forward.Reply) {
-	t.last = reply
+// recordReply updates the state that the choice of the next node depends on.
+func (s *callState) recordReply(c balancer.Candidate, reply forward.Reply) {
+	s.lastReply = reply
 
 	if reply.Elsewhere() {
-		t.busy = append(t.busy, c.ID)
+		s.declined = append(s.declined, c.ID)
 
 		return
 	}
 
-	t.tried = append(t.tried, c.ID)
+	s.attempted = append(s.attempted, c.ID)
 
 	if reply.Result != forward.Refused && reply.Result != forward.Suspected {
-		t.outcome.Sent++
+		s.outcome.Sent++
 	}
 
 	if len(reply.Crashes) > 0 {
-		t.request.Crashes = reply.Crashes
+		s.request.Crashes = reply.Crashes
 	}
 
 	if reply.Result == forward.Lost {
-		t.lost = true
+		s.mayHaveRun = true
 	}
 }
 
-func (t *try) send(c balancer.Candidate) (forward.Reply, error) {
+func (s *callState) send(c balancer.Candidate) (forward.Reply, error) {
 	if c.Own {
-		return t.dispatcher.options.Own.Serve(t.ctx, t.request)
+		return s.dispatcher.options.Own.Serve(s.ctx, s.request)
 	}
 
-	do := t.dispatcher.options.Peers.Do
-	if t.mayLeave() {
-		do = t.dispatcher.options.Peers.DoElsewhere
+	do := s.dispatcher.options.Peers.Do
+	if s.mayAbandon() {
+		do = s.dispatcher.options.Peers.DoElsewhere
 	}
 
 	var reply forward.Reply
 
-	err := do(t.ctx, c.Address, peer.LaneCalls, forward.MethodRun, t.request, &reply)
+	err := do(s.ctx, c.Address, peer.LaneCalls, forward.MethodRun, s.request, &reply)
 
 	switch {
 	case err == nil:
 		return reply, nil
 	case errors.Is(err, peer.ErrUnreachable), errors.Is(err, peer.ErrFrameTooLarge):
-		// No byte of the call left this process.
+		// Nothing of the call has left this process.
 		return forward.Reply{Result: forward.Refused, Reason: err.Error()}, err
 	}
 
 	return forward.Reply{Result: forward.Lost, Reason: err.Error()}, err
 }
 
-// mayLeave reports whether the call is given up where it is once the link to its node
-// is in doubt. That takes another node to go to. And a node that is being stopped does
-// not: its own host is busy with the stop, so that links look silent that are not, and
-// a call that its backend server works at would end with an answer of this node's.
-func (t *try) mayLeave() bool {
-	d := t.dispatcher
+// mayAbandon reports whether the call may be abandoned at its node once the link is in doubt.
+// Another node must be able to take it. A draining node doesn't abandon calls: its host is
+// busy with the shutdown, so healthy links look silent, and a call that a backend server is
+// running would end with an error response of this node.
+func (s *callState) mayAbandon() bool {
+	d := s.dispatcher
 
-	return t.request.Idempotent && t.others > 0 && t.outcome.Sent+1 < t.route.Attempts && !d.options.Intake.Leaving()
+	return s.request.Idempotent && s.otherCandidates > 0 && s.outcome.Sent+1 < s.route.Attempts && !d.options.Intake.Leaving()
 }
 
-// resultOf says what the reply tells of the node.
-func (t *try) resultOf(reply forward.Reply, err error) balancer.Result {
+// classify returns what the reply means for the balancer's view of the node.
+func (s *callState) classify(reply forward.Reply, err error) balancer.Result {
 	switch {
-	case errors.Is(t.ctx.Err(), context.Canceled):
+	case errors.Is(s.ctx.Err(), context.Canceled):
 		return balancer.Abandoned
-	case t.ctx.Err() != nil:
-		return balancer.Failed // no word of the node in all the time
+	case s.ctx.Err() != nil:
+		return balancer.Failed // no reply before the deadline
 	case err != nil:
 		return balancer.Unreached
 	case reply.Result == forward.Refused && reply.Reason == forward.ReasonNone:
@@ -170,40 +170,41 @@
 	return balancer.Failed
 }
 
-// settled reports whether the reply is what the caller gets.
-func (t *try) settled(reply forward.Reply) bool {
+// isFinal reports whether the reply goes to the caller. It keeps an error response to an
+// idempotent call as the fallback.
+func (s *callState) isFinal(reply forward.Reply) bool {
 	if reply.Result != forward.Answered {
 		return false
 	}
 
-	if reply.Status < http.StatusInternalServerError || !t.request.Idempotent {
+	if reply.Status < http.StatusInternalServerError || !s.request.Idempotent {
 		return true
 	}
 
-	t.failed = &reply
+	s.failedReply = &reply
 
 	return false
 }
 
-// goOn decides whether another node is asked after a reply that is not the answer.
-func (t *try) goOn(reply forward.Reply) bool {
-	if t.ctx.Err() != nil || t.left() < leastTime {
+// shouldRetry decides whether another node is contacted after a reply that is not final.
+func (s *callState) shouldRetry(reply forward.Reply) bool {
+	if s.ctx.Err() != nil || s.remaining() < minRetryTime {
 		return false
 	}
 
 	switch reply.Result {
 	case forward.Refused:
-		return true // it has not been passed on
+		return true // the call did not run
 	case forward.Suspected:
-		return false // the next one may not have heard of the crashes
+		return false // the next node may not know of the crashes and run the call
 	case forward.Lost, forward.Answered:
-		if !t.request.Idempotent {
-			return false // it may have run
+		if !s.request.Idempotent {
+			return false // the call may have run
 		}
 	case forward.Shed:
 	}
 
-	if t.outcome.Sent >= t.route.Attempts {
+	if s.outcome.Sent >= s.route.Attempts {
 		return false
 	}
 
@@ -212,11 +213,11 @@
 		margin = retrybudget.FailedMargin
 	}
 
-	d := t.dispatcher
+	d := s.dispatcher
 
-	again := d.options.Budget.Again(t.request.Service, margin, d.options.Members.CountLive())
+	again := d.options.Budget.Again(s.request.Service, margin, d.options.Members.CountLive())
 	if d.options.Meter != nil {
-		d.options.Meter.Repeated(t.request.Service, again)
+		d.options.Meter.Repeated(s.request.Service, again)
 	}
 
 	if !again {
@@ -224,50 +225,50 @@
 	}
 
 	d.options.Recorder.Record(event.CallRetried, timeline.Entry{
-		Call: t.request.ID, Peer: t.outcome.Node, Detail: reply.Result.String() + " " + reply.Reason,
+		Call: s.request.ID, Peer: s.outcome.Node, Detail: reply.Result.String() + " " + reply.Reason,
 	})
 
 	return true
 }
 
-func (t *try) left() time.Duration {
-	deadline, ok := t.ctx.Deadline()
+func (s *callState) remaining() time.Duration {
+	deadline, ok := s.ctx.Deadline()
 	if !ok {
-		return t.route.Timeout
+		return s.route.Timeout
 	}
 
 	return time.Until(deadline)
 }
 
-func (t *try) answer(reply forward.Reply) ingress.Response {
+func (s *callState) response(reply forward.Reply) ingress.Response {
 	return ingress.Response{Status: reply.Status, Header: reply.Header, Body: reply.Body}
 }
 
-// giveUp makes the final answer of a call that no backend server answered.
-func (t *try) giveUp() ingress.Response {
-	if t.failed != nil {
-		return t.answer(*t.failed)
+// failureResponse returns the response to a call without a final reply.
+func (s *callState) failureResponse() ingress.Response {
+	if s.failedReply != nil {
+		return s.response(*s.failedReply)
 	}
 
-	d := t.dispatcher
+	d := s.dispatcher
 
 	switch {
-	case t.lost:
-		t.outcome.Reason = "no answer, it may have run: " + t.last.Reason
+	case s.mayHaveRun:
+		s.outcome.Reason = "no answer, it may have run: " + s.lastReply.Reason
 
-		if errors.Is(t.ctx.Err(), context.DeadlineExceeded) {
-			return d.own(t.outcome, http.StatusGatewayTimeout)
+		if errors.Is(s.ctx.Err(), context.DeadlineExceeded) {
+			return d.localResponse(s.outcome, http.StatusGatewayTimeout)
 		}
 
-		return d.own(t.outcome, http.StatusBadGateway)
-	case t.last.Result == 0:
-		return d.refuse(t.outcome, "no backend server of "+t.request.Service+" can be reached that takes calls", noNodeRetry)
+		return d.localResponse(s.outcome, http.StatusBadGateway)
+	case s.lastReply.Result == 0:
+		return d.reject(s.outcome, "no backend server of "+s.request.Service+" can be reached that takes calls", noBackendRetryAfter)
 	}
 
-	after := t.last.RetryAfter()
+	after := s.lastReply.RetryAfter()
 	if after <= 0 {
-		after = noNodeRetry
+		after = noBackendRetryAfter
 	}
 
-	return d.refuse(t.outcome, "not run: "+t.last.Reason, after)
+	return d.reject(s.outcome, "not run: "+s.lastReply.Reason, after)
 }
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -83,7 +83,7 @@
 	spareDeviations = 1.0
 	// standingDeviations are given while the queue is a standing one. There are always
 	// calls for a slot that gets free then, and each that starts late has taken it from one
-	// that would have been on time (TestHowFarFromAPlacerThatKnowsAll).
+	// that would have been on time (TestBalancingIsCloseToOracle).
 	standingDeviations = 3.0
 	// standingAfter tells a standing queue from a burst: a burst is through in about one
 	// service time.
