--- a/internal/runner/describe.go
+++ b/internal/runner/describe.go
@@ -8,11 +8,11 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// describe tells the inputs of the decision on a call, and its outcome.
+// describe formats the inputs and the outcome of a call as the Detail of its event.
 func describe(in *forward.Request, w slots.Work, reply forward.Reply, took time.Duration) string {
-	const usual = 128
+	const typicalSize = 128
 
-	b := make([]byte, 0, usual)
+	b := make([]byte, 0, typicalSize)
 	b = append(b, reply.Result.String()...)
 	b = timeline.AppendNumber(b, " status ", int64(reply.Status))
 	b = timeline.AppendNumber(b, " rank ", int64(in.Rank))
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -1,7 +1,6 @@
-// Package runner is the only way to the backend server on this host. Calls of all
-// nodes meet here, so that its slots are counted exactly, nothing new reaches it
-// from the moment its leaving is known, and what is turned away has provably not
-// run.
+// Package runner runs calls on the local backend server. The calls of all nodes pass through
+// it, so its slots are counted exactly, no new call reaches the backend server once it is known
+// to drain, and a rejected call has certainly not run.
 //
 //	r := runner.New(runner.Options{...})
 //	server.Handle(forward.MethodRun, peer.Typed(r.Serve))
@@ -25,24 +24,23 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// downRetry is when to come back to a backend server that does not listen; its
-// next heartbeat tells that it is back.
-const downRetry = 200 * time.Millisecond
+// downRetryAfter is the retry delay for a backend server that doesn't accept calls or
+// connections; its next heartbeat reports that it is back.
+const downRetryAfter = 200 * time.Millisecond
 
-// shedRetry is when to come back to a backend server that turned a call away by itself.
-// Its slots are counted here, so it is not full, and there is no backlog to wait for:
-// it fails a part of its calls, and the next one may do. After 200 ms a caller with a
-// target of 300 ms had missed it.
-const shedRetry = 20 * time.Millisecond
+// shedRetryAfter is the retry delay after the backend server shed a call. Its slots are counted
+// here, so it is not full and has no backlog: it fails some calls, and the retry may succeed.
+// With 200 ms, callers with a target of 300 ms missed it.
+const shedRetryAfter = 20 * time.Millisecond
 
-// Suspects judges requests that were running when a backend server crashed.
+// Suspects tracks requests that were running when a backend server crashed.
 type Suspects interface {
 	Freshen(ctx context.Context, service string)
 	Refused(c call.Call) error
 	Begin(ctx context.Context, c call.Call) (end func(poison.Result) []poison.Crash, err error)
 }
 
-// Meter counts what runs.
+// Meter counts calls run for any node.
 type Meter interface {
 	Ran(route string, result forward.Result, waited, held time.Duration)
 }
@@ -63,26 +61,26 @@
 	options    Options
 	nestedcall *nestedcall.Routes
 	closed     atomic.Bool
-	busy       atomic.Int64
+	inFlight   atomic.Int64
 }
 
 // New returns a runner.
 func New(o Options) *Runner { return &Runner{options: o, nestedcall: nestedcall.New()} }
 
-// Close turns away what waits and what comes from now on; what the backend server runs
-// goes on.
+// Close rejects waiting calls and all later ones. Calls that the backend server is running
+// continue.
 func (r *Runner) Close() {
 	r.closed.Store(true)
 	r.options.Queue.Close()
 }
 
-// Busy returns how many calls are inside.
-func (r *Runner) Busy() int64 { return r.busy.Load() }
+// Busy returns the number of calls in flight, waiting ones included.
+func (r *Runner) Busy() int64 { return r.inFlight.Load() }
 
-// Serve runs one call, or says why not.
+// Serve runs a call on the backend server, or replies why it did not run.
 func (r *Runner) Serve(ctx context.Context, in forward.Request) (forward.Reply, error) {
-	r.busy.Add(1)
-	defer r.busy.Add(-1)
+	r.inFlight.Add(1)
+	defer r.inFlight.Add(-1)
 
 	ctx, cancel := context.WithTimeout(ctx, in.Remaining())
 	defer cancel()
@@ -91,13 +89,13 @@
 	began := time.Now()
 	reply := r.serve(ctx, &in, w)
 	reply.Load = r.load(w)
-	r.tell(&in, w, reply, time.Since(began))
+	r.record(&in, w, reply, time.Since(began))
 
 	return reply, nil
 }
 
-// work is the call as the queue sees it. A nested call is worth the same until the one
-// that waits for it gives up.
+// work returns the call as the queue needs it. The target of a nested call is its deadline: it
+// loses no value until the call that waits for it times out.
 func (r *Runner) work(in *forward.Request) slots.Work {
 	now := time.Now()
 	w := slots.Work{
@@ -124,59 +122,62 @@
 	return out
 }
 
+// refused returns the reply to a call that did not run.
 func refused(reason string, after time.Duration) forward.Reply {
 	return forward.Reply{Result: forward.Refused, Reason: reason, RetryMs: after.Milliseconds()}
 }
 
 func (r *Runner) serve(ctx context.Context, in *forward.Request, w slots.Work) forward.Reply {
 	if r.closed.Load() || in.Service != r.options.Service || !r.options.Host.State().Takes {
-		return refused(forward.ReasonNone, downRetry)
+		return refused(forward.ReasonNone, downRetryAfter)
 	}
 
 	r.options.Suspects.Freshen(ctx, in.Service)
 
-	c := asCall(in)
+	c := toCall(in)
 	if err := r.options.Suspects.Refused(c); err != nil {
 		return suspected(err)
 	}
 
 	slot, err := r.options.Queue.Enter(ctx, w)
 	if err != nil {
-		return r.turnedAway(err, w)
+		return r.rejected(err, w)
 	}
 
-	reply, held := r.run(ctx, in, c)
-	slot.Leave(taken(reply, held))
+	reply, serviceTime := r.run(ctx, in, c)
+	slot.Leave(routeSample(reply, serviceTime))
 
 	return reply
 }
 
-// taken is how long the call took if that tells something of its route.
-func taken(reply forward.Reply, held time.Duration) time.Duration {
+// routeSample returns the service time as a sample for the route, or 0 if the call was not
+// answered.
+func routeSample(reply forward.Reply, serviceTime time.Duration) time.Duration {
 	if reply.Result != forward.Answered {
 		return 0
 	}
 
-	return held
+	return serviceTime
 }
 
-func (r *Runner) turnedAway(err error, w slots.Work) forward.Reply {
+// rejected returns the reply to a call that the queue rejected.
+func (r *Runner) rejected(err error, w slots.Work) forward.Reply {
 	switch {
 	case errors.Is(err, slots.ErrElsewhere):
 		return refused(forward.ReasonElsewhere, r.options.Queue.RetryAfter(w))
 	case errors.Is(err, slots.ErrWaits):
 		return refused(forward.ReasonWaits, r.options.Queue.RetryAfter(w))
 	case errors.Is(err, slots.ErrClosed):
-		return refused(forward.ReasonNone, downRetry)
+		return refused(forward.ReasonNone, downRetryAfter)
 	}
 
 	return refused(err.Error(), r.options.Queue.RetryAfter(w))
 }
 
-// run sends the call, unless the backend server began to leave while it waited or
-// the call is suspected of crashing backend servers. It also returns how long the backend
-// server had it. What is waited for until the call may run is left out: a node that has
-// just started waits for others to ask, and would take its backend server for as slow.
+// run sends the call to the backend server, unless the server began to drain while the call
+// waited or the call is suspected of crashing backend servers. It also returns the service time
+// of the backend server. The wait for permission to run is left out: a node that has just
+// started waits for answers of other nodes, and would rate its backend server as slow.
 func (r *Runner) run(ctx context.Context, in *forward.Request, c call.Call) (forward.Reply, time.Duration) {
 	end, err := r.options.Suspects.Begin(ctx, c)
 	if err != nil {
@@ -187,7 +188,7 @@
 	if !state.Takes || r.closed.Load() {
 		end(poison.Lost)
 
-		return refused(forward.ReasonNone, downRetry), 0
+		return refused(forward.ReasonNone, downRetryAfter), 0
 	}
 
 	began := time.Now()
@@ -195,20 +196,20 @@
 		ID: in.ID, Origin: in.Origin, Instance: state.Instance, Method: in.Method, Host: in.Host, URI: in.URI, Header: in.Header,
 		Body: in.Body, Idempotent: in.Idempotent,
 	})
-	held := time.Since(began)
-	reply, result := r.judge(ctx, state, a, err)
+	serviceTime := time.Since(began)
+	reply, result := r.classify(ctx, state, a, err)
 	reply.Crashes = end(result)
-	reply.HeldMs = held.Milliseconds()
+	reply.HeldMs = serviceTime.Milliseconds()
 
-	return reply, held
+	return reply, serviceTime
 }
 
-// suspected is the reply to a call that is suspected of crashing backend servers, with
-// when to come back: after the doubt of a moment, or once the suspicion ends.
+// suspected returns the reply to a call suspected of crashing backend servers. Its retry delay
+// is short for a temporary doubt and otherwise lasts until the suspicion ends.
 func suspected(err error) forward.Reply {
 	var r *call.Refusal
 	if !errors.As(err, &r) {
-		return refused(err.Error(), downRetry)
+		return refused(err.Error(), downRetryAfter)
 	}
 
 	return forward.Reply{
@@ -216,8 +217,8 @@
 	}
 }
 
-// asCall is the request as those see it who judge suspects.
-func asCall(in *forward.Request) call.Call {
+// toCall converts a request for the check by [Suspects].
+func toCall(in *forward.Request) call.Call {
 	return call.Call{
 		Crashes: in.Crashes,
 
@@ -225,33 +226,33 @@
 	}
 }
 
-// judge says what became of a call that was handed to the backend server.
-func (r *Runner) judge(ctx context.Context, s announce.State, a backend.Answer, err error) (forward.Reply, poison.Result) {
+// classify returns the reply for a call that was sent to the backend server.
+func (r *Runner) classify(ctx context.Context, s announce.State, a backend.Answer, err error) (forward.Reply, poison.Result) {
 	switch {
 	case errors.Is(err, backend.ErrDown):
 		r.options.Host.Down(s.Instance)
 
-		return refused(forward.ReasonNone, downRetry), poison.Down
+		return refused(forward.ReasonNone, downRetryAfter), poison.Down
 	case errors.Is(err, backend.ErrBusy):
-		return refused(err.Error(), downRetry), poison.Lost
+		return refused(err.Error(), downRetryAfter), poison.Lost
 	case err != nil:
-		return r.lost(ctx, s, err)
+		return r.classifyLost(ctx, s, err)
 	case a.Other:
 		r.options.Pool.Forget()
 		r.options.Host.Replaced(s.Instance)
 
-		return refused(forward.ReasonNone, downRetry), poison.Finished
+		return refused(forward.ReasonNone, downRetryAfter), poison.Finished
 	case a.NotRun:
-		return forward.Reply{Result: forward.Shed, Reason: "the backend server turned it away", RetryMs: shedRetry.Milliseconds()}, poison.Lost
+		return forward.Reply{Result: forward.Shed, Reason: "the backend server turned it away", RetryMs: shedRetryAfter.Milliseconds()}, poison.Lost
 	}
 
 	return forward.Reply{Result: forward.Answered, Status: a.Status, Header: a.Header, Body: a.Body}, poison.Finished
 }
 
-// lost finds out whether the backend server ended while it ran the call. Its process is
-// gone if nobody listens any more. Of a call that was given up, and of one whose
-// connection broke while somebody listens, that shows later.
-func (r *Runner) lost(ctx context.Context, s announce.State, err error) (forward.Reply, poison.Result) {
+// classifyLost determines whether the backend server crashed while it ran the call. If its
+// address refuses connections, the process has terminated. After a canceled call, or a broken
+// connection while the address accepts new ones, a crash shows only later.
+func (r *Runner) classifyLost(ctx context.Context, s announce.State, err error) (forward.Reply, poison.Result) {
 	reply := forward.Reply{Result: forward.Lost, Reason: err.Error()}
 
 	switch {
@@ -268,11 +269,12 @@
 	return reply, poison.Crashed
 }
 
-func (r *Runner) tell(in *forward.Request, w slots.Work, reply forward.Reply, took time.Duration) {
-	held := time.Duration(reply.HeldMs) * time.Millisecond
+// record reports the call to the meter and to the timeline.
+func (r *Runner) record(in *forward.Request, w slots.Work, reply forward.Reply, took time.Duration) {
+	serviceTime := time.Duration(reply.HeldMs) * time.Millisecond
 
 	if r.options.Meter != nil {
-		r.options.Meter.Ran(in.Route, reply.Result, took-held, held)
+		r.options.Meter.Ran(in.Route, reply.Result, took-serviceTime, serviceTime)
 	}
 
 	e := event.CallRun
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -26,37 +26,37 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// innocent suspects no request.
-type innocent struct{}
+// noSuspects suspects no request.
+type noSuspects struct{}
 
-func (innocent) Freshen(context.Context, string) {}
+func (noSuspects) Freshen(context.Context, string) {}
 
-func (innocent) Refused(call.Call) error { return nil }
+func (noSuspects) Refused(call.Call) error { return nil }
 
-func (innocent) Begin(context.Context, call.Call) (func(poison.Result) []poison.Crash, error) {
+func (noSuspects) Begin(context.Context, call.Call) (func(poison.Result) []poison.Crash, error) {
 	return func(poison.Result) []poison.Crash { return nil }, nil
 }
 
-// newRunner returns the runner of a backend server that is in use.
+// newRunner returns the runner of a backend server with four slots.
 func newRunner(t *testing.T, h http.HandlerFunc) *runner.Runner {
 	t.Helper()
 
-	return recorded(t, h, timeline.New())
+	return newRunnerWithRecorder(t, h, timeline.New())
 }
 
-func recorded(t *testing.T, h http.HandlerFunc, recorder *timeline.Recorder) *runner.Runner {
+func newRunnerWithRecorder(t *testing.T, h http.HandlerFunc, recorder *timeline.Recorder) *runner.Runner {
 	t.Helper()
 
-	return watched(t, h, recorder, innocent{})
+	return newRunnerWithSuspects(t, h, recorder, noSuspects{})
 }
 
-func watched(t *testing.T, h http.HandlerFunc, recorder *timeline.Recorder, suspects runner.Suspects) *runner.Runner {
+func newRunnerWithSuspects(t *testing.T, h http.HandlerFunc, recorder *timeline.Recorder, suspects runner.Suspects) *runner.Runner {
 	t.Helper()
 
-	return queued(t, h, recorder, suspects, slots.New())
+	return newRunnerWithQueue(t, h, recorder, suspects, slots.New())
 }
 
-func queued(
+func newRunnerWithQueue(
 	t *testing.T, h http.HandlerFunc, recorder *timeline.Recorder, suspects runner.Suspects, queue *slots.Queue,
 ) *runner.Runner {
 	t.Helper()
@@ -79,14 +79,14 @@
 	})
 }
 
-// refusing refuses one request.
-type refusing struct {
-	innocent
+// refuseURI refuses requests for one URI.
+type refuseURI struct {
+	noSuspects
 
 	uri string
 }
 
-func (s refusing) Refused(c call.Call) error {
+func (s refuseURI) Refused(c call.Call) error {
 	if c.URI == s.uri {
 		return call.Refuse(poison.ErrRefused, call.RanNo, time.Minute)
 	}
@@ -94,10 +94,9 @@
 	return nil
 }
 
-// All slots of a backend server are taken, and a request comes that has ended two others.
-// It waited for a slot to be told then that it will not run, and kept a place from calls
-// that can be served.
-func TestAPoisonRequestDoesNotWaitForASlot(t *testing.T) {
+// All slots are taken and a request arrives that was running in two crashes. It must be refused
+// at once, not after waiting for a slot and taking a queue place from other calls.
+func TestRefusedPoisonRequestDoesNotWaitForSlot(t *testing.T) {
 	const slots = 4
 
 	var running sync.WaitGroup
@@ -106,10 +105,10 @@
 
 	running.Add(slots)
 
-	r := watched(t, func(http.ResponseWriter, *http.Request) {
+	r := newRunnerWithSuspects(t, func(http.ResponseWriter, *http.Request) {
 		running.Done()
 		<-busy
-	}, timeline.New(), refusing{uri: "/broken"})
+	}, timeline.New(), refuseURI{uri: "/broken"})
 
 	t.Cleanup(func() { close(busy) })
 
@@ -128,41 +127,41 @@
 	assert.Equal(t, reply.RetryAfter(), time.Minute)
 }
 
-// A backend server has a queue, and one nearby may have a slot free. The call is told so at
-// once, and its line is no warning: nothing failed, and in a busy second one call in three
-// has it.
-func TestACallThatWouldWaitIsSentNearby(t *testing.T) {
-	const full = 16 // the slots and three rounds of calls that wait
+// The backend server has a queue, and another node of the same failure domain may have a free
+// slot. The call must be rejected at once for that reason. The event is a debug event: nothing
+// failed, and under load one call in three has it.
+func TestCallThatWouldWaitIsRedirectedNearby(t *testing.T) {
+	const full = 16 // the slots and three waiting calls for each
 
 	busy := make(chan struct{})
 	recorder := timeline.New()
 	queue := slots.New()
-	r := queued(t, func(http.ResponseWriter, *http.Request) { <-busy }, recorder, innocent{}, queue)
+	r := newRunnerWithQueue(t, func(http.ResponseWriter, *http.Request) { <-busy }, recorder, noSuspects{}, queue)
 
 	t.Cleanup(func() { close(busy) })
 
-	patient := request()
-	patient.RemainingMs, patient.TargetMs = 60_000, 30_000
+	waitingCall := request()
+	waitingCall.RemainingMs, waitingCall.TargetMs = 60_000, 30_000
 
 	for range full {
-		go func() { _, _ = r.Serve(context.Background(), patient) }()
+		go func() { _, _ = r.Serve(context.Background(), waitingCall) }()
 	}
 
 	for queue.Busy() < full {
 		time.Sleep(time.Millisecond)
 	}
 
-	patient.ID, patient.Nearby = "id-2", true
-	patient.TargetMs += 1000
+	waitingCall.ID, waitingCall.Nearby = "id-2", true
+	waitingCall.TargetMs += 1000
 
-	reply, err := r.Serve(t.Context(), patient)
+	reply, err := r.Serve(t.Context(), waitingCall)
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Result, forward.Refused)
 	assert.Equal(t, reply.Reason, forward.ReasonWaits)
 
-	told := recorder.Entries(timeline.Filter{Call: "id-2"})
-	assert.Equal(t, len(told), 1)
-	assert.Equal(t, told[0].Name, event.CallSentNearby.Name)
+	entries := recorder.Entries(timeline.Filter{Call: "id-2"})
+	assert.Equal(t, len(entries), 1)
+	assert.Equal(t, entries[0].Name, event.CallSentNearby.Name)
 	assert.Equal(t, event.CallSentNearby.Level, slog.LevelDebug)
 }
 
@@ -173,9 +172,9 @@
 	}
 }
 
-// A backend server turns calls away although it has free slots. There is no backlog to
-// wait for, and a caller that is sent away for long misses its target.
-func TestACallThatTheBackendServerTurnedAwayMayComeBackSoon(t *testing.T) {
+// The backend server sheds calls although it has free slots. There is no backlog to wait for,
+// and with a long retry delay the caller misses its target.
+func TestShedCallGetsShortRetryAfter(t *testing.T) {
 	r := newRunner(t, func(w http.ResponseWriter, r *http.Request) {
 		names := header.Default()
 		w.Header().Set(names.Call, r.Header.Get(names.Call))
@@ -189,7 +188,7 @@
 	assert.Assert(t, reply.RetryAfter() <= 50*time.Millisecond, "%s", reply.RetryAfter())
 }
 
-// answer writes the answer of a backend server to a call.
+// answer writes a backend server's answer to a call.
 func answer(w http.ResponseWriter, r *http.Request, status int) {
 	names := header.Default()
 	w.Header().Set(names.Call, r.Header.Get(names.Call))
@@ -197,10 +196,10 @@
 	w.WriteHeader(status)
 }
 
-// A backend server never answers a call for which it has no slot, nor anything else on
-// that connection. Forty callers come at once: none may be put where it would hang, and
-// those that do not fit are turned away or wait at the node.
-func TestABackendServerThatHangsWhenItIsFull(t *testing.T) {
+// A backend server without a free slot hangs: it never answers the call, nor any later one on
+// that connection. With 40 concurrent callers no call may be sent to a full backend server; the
+// surplus waits at the node or is rejected.
+func TestNoCallIsSentToFullBackendServer(t *testing.T) {
 	const slots = 4
 
 	var running, hung atomic.Int64
@@ -237,10 +236,10 @@
 	assert.Assert(t, answered.Load() >= slots)
 }
 
-// A backend server never answers one call, and nothing after it on that connection. The
-// call ends with its time, as one that may have run; its slot is free again, and the next
-// call must not be put behind it.
-func TestACallThatIsNeverAnswered(t *testing.T) {
+// A backend server never answers one call, nor any later one on that connection. The call must
+// end at its deadline as one that may have run, its slot must be free again, and the next call
+// must not use the same connection.
+func TestUnansweredCallTimesOutAndFreesSlot(t *testing.T) {
 	r := newRunner(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(header.Default().Call) == "hangs" {
 			<-r.Context().Done()
@@ -254,11 +253,11 @@
 	first := request()
 	reply, err := r.Serve(context.Background(), first)
 	assert.NilError(t, err)
-	assert.Equal(t, reply.Result, forward.Answered) // its connection is kept
+	assert.Equal(t, reply.Result, forward.Answered) // its connection stays open for reuse
 
-	hangs := request()
-	hangs.ID, hangs.RemainingMs = "hangs", 50
-	reply, err = r.Serve(context.Background(), hangs)
+	unanswered := request()
+	unanswered.ID, unanswered.RemainingMs = "hangs", 50
+	reply, err = r.Serve(context.Background(), unanswered)
 	assert.NilError(t, err)
 	assert.Equal(t, reply.Result, forward.Lost)
 	assert.Equal(t, reply.Load.Running, 0)
@@ -268,33 +267,33 @@
 	assert.Equal(t, reply.Result, forward.Answered)
 }
 
-// A backend server fails calls that it ran. Each has a line that is no sample: the user
-// who complains of it asks about this one call.
-func TestACallThatTheBackendServerFailed(t *testing.T) {
+// A backend server fails calls that it ran. Each must be recorded, not sampled, since its caller
+// may ask about this one call.
+func TestFailedCallIsRecordedAsWarning(t *testing.T) {
 	recorder := timeline.New()
-	r := recorded(t, func(w http.ResponseWriter, r *http.Request) { answer(w, r, http.StatusGatewayTimeout) }, recorder)
+	r := newRunnerWithRecorder(t, func(w http.ResponseWriter, r *http.Request) { answer(w, r, http.StatusGatewayTimeout) }, recorder)
 
 	_, err := r.Serve(context.Background(), request())
 	assert.NilError(t, err)
 
-	told := recorder.Entries(timeline.Filter{Call: "id-1"})
-	assert.Equal(t, len(told), 1)
-	assert.Equal(t, told[0].Name, event.CallRunFailed.Name)
+	entries := recorder.Entries(timeline.Filter{Call: "id-1"})
+	assert.Equal(t, len(entries), 1)
+	assert.Equal(t, entries[0].Name, event.CallRunFailed.Name)
 	assert.Equal(t, event.CallRunFailed.Level, slog.LevelWarn)
 }
 
-// A node that is being stopped must not start calls that wait until they can't end in time.
-func TestAClosedRunnerTurnsAwayWhatWaits(t *testing.T) {
+// A draining node must not start waiting calls, since these may not end in time.
+func TestClosedRunnerRejectsWaitingCalls(t *testing.T) {
 	const full = 4
 
 	busy := make(chan struct{})
 	began := make(chan struct{}, full)
 	queue := slots.New()
-	r := queued(t, func(http.ResponseWriter, *http.Request) {
+	r := newRunnerWithQueue(t, func(http.ResponseWriter, *http.Request) {
 		began <- struct{}{}
 
 		<-busy
-	}, timeline.New(), innocent{}, queue)
+	}, timeline.New(), noSuspects{}, queue)
 
 	t.Cleanup(func() { close(busy) })
 
@@ -318,14 +317,14 @@
 	}
 
 	r.Close()
-	queue.Resize(full) // the backend server says that it is ready
+	queue.Resize(full) // the backend server reports ready
 
 	select {
 	case reply := <-waiting:
 		assert.Equal(t, reply.Result, forward.Refused)
 		assert.Equal(t, reply.Reason, forward.ReasonNone)
 	case <-time.After(time.Second):
-		t.Fatal("the call still waits")
+		t.Fatal("the waiting call was not rejected within 1 s")
 	}
 
 	reply, err := r.Serve(t.Context(), request())
