--- a/internal/dispatch/fleet_test.go
+++ b/internal/dispatch/fleet_test.go
@@ -31,7 +31,7 @@
 	opened  []string
 	// elsewhereCalls counts calls that may be abandoned once their link is in doubt.
 	elsewhereCalls int
-	intake         *drain.Intake
+	draining       *draining.Intake
 	contacted      []string
 	requests       []forward.Request
 	reply          func(ctx context.Context, address string, in forward.Request) (forward.Reply, error)
