--- a/internal/tombstone/again.go
+++ b/internal/tombstone/again.go
@@ -13,61 +13,61 @@
 )
 
 const (
-	// spreadChange is within what the processes of a fleet begin to write again after a
-	// change of the epoch: nobody needs a record before the process that wrote it ends.
-	spreadChange = 1500 * time.Millisecond
-	// firstPause and lastPause bound the pause between tries while the store takes none.
-	firstPause = 100 * time.Millisecond
-	lastPause  = time.Second
+	// rewriteSpread is the interval over which the processes of a fleet spread their rewrites
+	// after an epoch change. A record is not read before the process that wrote it ends.
+	rewriteSpread = 1500 * time.Millisecond
+	// minBackoff and maxBackoff bound the delay between retries while the store rejects writes.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = time.Second
 )
 
-// WithEpoch sets the epoch of the store, and where it is told what was written again.
+// WithEpoch sets the epoch of the store and the recorder that logs rewrites.
 func (d *Departures) WithEpoch(e *epoch.Current, r *timeline.Recorder) *Departures {
 	d.epoch, d.recorder = e, r
-	d.changed = e.Changed()
+	d.epochChanged = e.Changed()
 
 	return d
 }
 
-// Run writes the records of this process again after each change of the epoch, until ctx
-// ends: the store may have lost them.
+// Run rewrites the records of this process after each epoch change, because the store may
+// have lost them. It returns when ctx ends.
 func (d *Departures) Run(ctx context.Context) {
-	changed := d.changed
+	epochChanged := d.epochChanged
 
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-changed:
+		case <-epochChanged:
 		}
 
-		changed = d.epoch.Changed()
+		epochChanged = d.epoch.Changed()
 
-		idle.Unless(ctx, rand.N(spreadChange), changed)
-		d.writeAgain(ctx, changed)
+		idle.Unless(ctx, rand.N(rewriteSpread), epochChanged)
+		d.rewriteAll(ctx, epochChanged)
 	}
 }
 
-func (d *Departures) writeAgain(ctx context.Context, changed <-chan struct{}) {
+func (d *Departures) rewriteAll(ctx context.Context, changed <-chan struct{}) {
 	written := 0
 
-	for _, i := range d.own() {
-		if d.writeUntil(ctx, i, changed) {
+	for _, i := range d.owned() {
+		if d.writeWithRetry(ctx, i, changed) {
 			written++
 		}
 	}
 
 	if written > 0 {
-		d.recorder.Record(event.PlatformRewritten, timeline.Entry{Detail: strconv.Itoa(written) + " leavings"})
+		d.recorder.Record(event.PlatformRewritten, timeline.Entry{Detail: strconv.Itoa(written) + " confirmed departures"})
 	}
 }
 
-// writeUntil tries until the store has the record, the epoch changes or the record is of
-// no use any more.
-func (d *Departures) writeUntil(ctx context.Context, i Instance, changed <-chan struct{}) bool {
-	for pause := firstPause; ctx.Err() == nil && !idle.Closed(changed) && d.remaining(i) > 0; pause = min(2*pause, lastPause) {
+// writeWithRetry retries until the store has the record, the epoch changes or the record
+// expires.
+func (d *Departures) writeWithRetry(ctx context.Context, i Instance, changed <-chan struct{}) bool {
+	for pause := minBackoff; ctx.Err() == nil && !idle.Closed(changed) && d.timeToLive(i) > 0; pause = min(2*pause, maxBackoff) {
 		if d.write(ctx, i) == nil {
-			d.removeLater(i)
+			d.scheduleRemoval(i)
 
 			return true
 		}
@@ -78,15 +78,15 @@
 	return false
 }
 
-// own returns what this process writes again.
-func (d *Departures) own() []Instance {
+// owned returns the instances whose records this process rewrites.
+func (d *Departures) owned() []Instance {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	var out []Instance
 
-	for id, r := range d.held {
-		if r.own && time.Since(r.at) < life {
+	for id, r := range d.records {
+		if r.owned && time.Since(r.storedAt) < recordTTL {
 			out = append(out, Instance{ID: id, Started: r.started})
 		}
 	}
@@ -94,43 +94,44 @@
 	return out
 }
 
-// remaining is how long a record is still of use.
-func (d *Departures) remaining(i Instance) time.Duration {
+// timeToLive returns the time until the record expires.
+func (d *Departures) timeToLive(i Instance) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	return life - time.Since(d.held[i.ID].at)
+	return recordTTL - time.Since(d.records[i.ID].storedAt)
 }
 
-// removeLater has the store drop a record once nobody needs it any more.
-func (d *Departures) removeLater(i Instance) {
+// scheduleRemoval deletes the record from the store once it expires.
+func (d *Departures) scheduleRemoval(i Instance) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	r, ok := d.held[i.ID]
-	if !ok || r.started != i.Started || r.removes {
+	r, ok := d.records[i.ID]
+	if !ok || r.started != i.Started || r.removalScheduled {
 		return
 	}
 
-	r.removes = true
-	d.held[i.ID] = r
+	r.removalScheduled = true
+	d.records[i.ID] = r
 
-	time.AfterFunc(life-time.Since(r.at), func() { d.remove(i) })
+	time.AfterFunc(recordTTL-time.Since(r.storedAt), func() { d.remove(i) })
 }
 
-// removing reports whether the record is the newest of its instance, which is dropped now.
-func (d *Departures) removing(i Instance) bool {
+// beginRemoval clears the scheduled removal and reports whether the record is still the
+// newest of its instance ID.
+func (d *Departures) beginRemoval(i Instance) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	r := d.held[i.ID]
+	r := d.records[i.ID]
 	if r.started != i.Started {
 		return false
 	}
 
-	if r.removes {
-		r.removes = false
-		d.held[i.ID] = r
+	if r.removalScheduled {
+		r.removalScheduled = false
+		d.records[i.ID] = r
 	}
 
 	return true
--- a/internal/tombstone/cost_test.go
+++ b/internal/tombstone/cost_test.go
@@ -14,25 +14,26 @@
 	"github.com/pollencart/pollencart/internal/tombstone"
 )
 
-// counted counts the messages of a node.
-type counted struct {
+// countingFleet counts the messages that a node sends.
+type countingFleet struct {
 	fleet
 
 	sent atomic.Int64
 }
 
-func (c *counted) Do(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error {
+func (c *countingFleet) Do(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error {
 	c.sent.Add(1)
 
 	return c.fleet.Do(ctx, address, lane, method, in, out)
 }
 
-// Copies beside the store make messages that grow with the fleet, or hold up a confirmation.
-func TestACopyBesideTheStoreCostsFewMessagesAndLittleTime(t *testing.T) {
+// Guards against copies on other nodes whose message count grows with the fleet or that
+// delay a confirmation.
+func TestCopiesOnNodesCostFewMessagesAndNoTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, count := range []int{1, 2, 8, 85, 295} {
 			s := &store{keys: map[string][]byte{}}
-			c := &counted{fleet: fleet{newFleet(s, count), "a"}}
+			c := &countingFleet{fleet: fleet{newFleet(s, count), "a"}}
 			d := tombstone.New(s, c, c)
 			began := time.Now()
 
@@ -44,44 +45,46 @@
 	})
 }
 
-// silent takes messages and answers none.
-type silent struct{ fleet }
+// silentFleet accepts messages and never replies.
+type silentFleet struct{ fleet }
 
-func (silent) Do(ctx context.Context, _ string, _ peer.Lane, _ string, _, _ any) error {
+func (silentFleet) Do(ctx context.Context, _ string, _ peer.Lane, _ string, _, _ any) error {
 	<-ctx.Done()
 
 	return ctx.Err()
 }
 
-// A node that others do not answer can't confirm a leaving that the store holds, or only late.
-func TestALeavingIsKeptWhileNoOtherNodeAnswers(t *testing.T) {
+// Guards against a departure that the store holds but that is confirmed late or not at all
+// because other nodes do not reply.
+func TestKeepSucceedsWhileNoOtherNodeAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const soon = 400 * time.Millisecond // half of what a confirmation may take
+		const limit = 400 * time.Millisecond // half of the time limit for a confirmation
 
 		s := &store{keys: map[string][]byte{}}
-		cut := silent{fleet{newFleet(s, 8), "a"}}
+		cut := silentFleet{fleet{newFleet(s, 8), "a"}}
 		began := time.Now()
 
 		assert.NilError(t, tombstone.New(s, cut, cut).Keep(t.Context(), "i-1", 100))
-		assert.Assert(t, time.Since(began) <= soon, time.Since(began))
+		assert.Assert(t, time.Since(began) <= limit, time.Since(began))
 	})
 }
 
-// A change of the epoch that has every host of a large fleet write at once, or those without a leaving.
-func TestAChangeOfTheEpochBringsFewWritesOfALargeFleet(t *testing.T) {
+// Guards against an epoch change after which all hosts of a large fleet write at once, or
+// hosts without a record write at all.
+func TestEpochChangeSpreadsWritesOfALargeFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			hosts      = 295
-			mostWrites = hosts * 3 / 4 // in a second, while all backend servers leave
+			mostWrites = hosts * 3 / 4 // per second, while all backend servers are draining
 		)
 
 		s := &store{keys: map[string][]byte{}}
-		older := s.copied()
+		older := s.snapshot()
 
 		var fleet []process
 
 		for i := range 2 * hosts {
-			p := run(t, s, alone())
+			p := startProcess(t, s, noNodes())
 			fleet = append(fleet, p)
 
 			if i < hosts {
@@ -89,19 +92,19 @@
 			}
 		}
 
-		s.back(older)
+		s.restore(older)
 
 		for _, p := range fleet {
 			p.epoch.Observe(2)
 		}
 
 		for second := range 3 {
-			before := s.written()
+			before := s.writeCount()
 			time.Sleep(time.Second)
-			t.Logf("%d writes in second %d", s.written()-before, second)
-			assert.Assert(t, s.written()-before <= mostWrites, "%d writes", s.written()-before)
+			t.Logf("%d writes in second %d", s.writeCount()-before, second)
+			assert.Assert(t, s.writeCount()-before <= mostWrites, "%d writes", s.writeCount()-before)
 		}
 
-		assert.Equal(t, s.written(), 2*hosts)
+		assert.Equal(t, s.writeCount(), 2*hosts)
 	})
 }
--- a/internal/tombstone/drill_test.go
+++ b/internal/tombstone/drill_test.go
@@ -17,45 +17,45 @@
 	"github.com/pollencart/pollencart/internal/tombstone"
 )
 
-// copied returns what the store holds now.
-func (s *store) copied() map[string][]byte {
+// snapshot returns a copy of the store's keys.
+func (s *store) snapshot() map[string][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	return maps.Clone(s.keys)
 }
 
-// back has the store come back from an older copy.
-func (s *store) back(keys map[string][]byte) {
+// restore replaces the store's keys with those of an older copy.
+func (s *store) restore(keys map[string][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.keys, s.away = maps.Clone(keys), false
+	s.keys, s.unavailable = maps.Clone(keys), false
 }
 
-func (s *store) written() int {
+func (s *store) writeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	return s.puts
 }
 
-// process is a life of a node that runs until it is stopped.
+// process is one process of a node, which runs until it is stopped.
 type process struct {
 	*tombstone.Departures
 
-	epoch *epoch.Current
-	told  *timeline.Recorder
-	stop  func()
+	epoch  *epoch.Current
+	events *timeline.Recorder
+	stop   func()
 }
 
-// run runs another life of the node a, with the others that there are.
-func run(t *testing.T, s *store, nodes map[string]*tombstone.Departures) process {
+// startProcess starts a process of node a among the given nodes.
+func startProcess(t *testing.T, s *store, nodes map[string]*tombstone.Departures) process {
 	t.Helper()
 
 	f := fleet{nodes, "a"}
-	p := process{epoch: epoch.New(), told: timeline.New()}
-	p.Departures = tombstone.New(s, f, f).WithEpoch(p.epoch, p.told)
+	p := process{epoch: epoch.New(), events: timeline.New()}
+	p.Departures = tombstone.New(s, f, f).WithEpoch(p.epoch, p.events)
 	p.epoch.Observe(1)
 
 	ctx, cancel := context.WithCancel(context.Background())
@@ -76,8 +76,8 @@
 	return p
 }
 
-// alone is a node that no other one can be asked beside.
-func alone() map[string]*tombstone.Departures { return map[string]*tombstone.Departures{} }
+// noNodes returns a fleet without other nodes.
+func noNodes() map[string]*tombstone.Departures { return map[string]*tombstone.Departures{} }
 
 func departed(t *testing.T, d *tombstone.Departures) bool {
 	t.Helper()
@@ -88,37 +88,38 @@
 	return gone
 }
 
-// A leaving that the store lost after it was acknowledged is not found by the next process.
-func TestALeavingThatTheStoreLostIsWrittenAgain(t *testing.T) {
+// Guards against a next process that misses a departure because the store lost its record
+// after acknowledging it.
+func TestLostRecordIsRewrittenAfterEpochChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{keys: map[string][]byte{}}
-		p := run(t, s, alone())
-		older := s.copied()
+		p := startProcess(t, s, noNodes())
+		older := s.snapshot()
 
 		assert.NilError(t, p.Keep(t.Context(), "i-1", 100))
-		s.back(older)
+		s.restore(older)
 		p.epoch.Observe(2)
 		time.Sleep(2 * time.Second)
 		p.stop()
 
-		assert.Assert(t, departed(t, run(t, s, alone()).Departures))
-		assert.Equal(t, len(p.told.Entries(timeline.Filter{Event: event.PlatformRewritten.Name})), 1)
+		assert.Assert(t, departed(t, startProcess(t, s, noNodes()).Departures))
+		assert.Equal(t, len(p.events.Entries(timeline.Filter{Event: event.PlatformRewritten.Name})), 1)
 	})
 }
 
-// lossy is a store that comes back older between a write and its answer.
-type lossy struct {
+// rollbackStore is restored from an older copy between a write and its reply.
+type rollbackStore struct {
 	*store
 
 	epoch *epoch.Current
 }
 
-func (l lossy) Put(ctx context.Context, e platform.Entry) error {
-	older := l.copied()
+func (l rollbackStore) Put(ctx context.Context, e platform.Entry) error {
+	older := l.snapshot()
 	err := l.store.Put(ctx, e)
 
 	if l.epoch.Number() == 1 {
-		l.back(older)
+		l.restore(older)
 		l.epoch.Observe(2)
 		time.Sleep(2 * time.Second)
 	}
@@ -126,15 +127,16 @@
 	return err
 }
 
-// A leaving is acknowledged in one epoch and the answer arrives in the next, after all was rewritten.
-func TestALeavingAcknowledgedJustBeforeAChangeIsWrittenAgain(t *testing.T) {
+// The store acknowledges a write in one epoch, and the reply arrives in the next one after
+// the rewrites are done.
+func TestRecordIsRewrittenIfEpochChangesBeforeTheReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{keys: map[string][]byte{}}
 		e := epoch.New()
 		e.Observe(1)
 
-		f := fleet{alone(), "a"}
-		d := tombstone.New(lossy{s, e}, f, f).WithEpoch(e, timeline.New())
+		f := fleet{noNodes(), "a"}
+		d := tombstone.New(rollbackStore{s, e}, f, f).WithEpoch(e, timeline.New())
 		ctx, cancel := context.WithCancel(t.Context())
 
 		go d.Run(ctx)
@@ -142,122 +144,124 @@
 		assert.NilError(t, d.Keep(t.Context(), "i-1", 100))
 		cancel()
 		synctest.Wait()
-		assert.Assert(t, departed(t, run(t, s, alone()).Departures))
+		assert.Assert(t, departed(t, startProcess(t, s, noNodes()).Departures))
 	})
 }
 
-// The store takes no writes when the epoch changes, and changes it again soon after.
-func TestALeavingIsWrittenAgainUntilTheStoreTakesIt(t *testing.T) {
+// The store rejects writes when the epoch changes, and the epoch changes again soon after.
+func TestRewriteIsRetriedUntilTheStoreAccepts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{keys: map[string][]byte{}}
-		p := run(t, s, alone())
-		older := s.copied()
+		p := startProcess(t, s, noNodes())
+		older := s.snapshot()
 
 		assert.NilError(t, p.Keep(t.Context(), "i-1", 100))
 
 		for number := uint64(2); number < 5; number++ {
-			s.back(older)
-			s.setAway(true)
+			s.restore(older)
+			s.setUnavailable(true)
 			p.epoch.Observe(number)
 			time.Sleep(700 * time.Millisecond)
 		}
 
-		s.setAway(false)
+		s.setUnavailable(false)
 		time.Sleep(2 * time.Second)
 		p.stop()
 
-		assert.Assert(t, departed(t, run(t, s, alone()).Departures))
+		assert.Assert(t, departed(t, startProcess(t, s, noNodes()).Departures))
 	})
 }
 
-// The process that confirmed a leaving was killed before the store lost the record.
-func TestALeavingThatTheStoreLostAfterItsProcessIsFoundAtOtherNodes(t *testing.T) {
+// The process that confirmed a departure is killed before the store loses the record.
+func TestLostRecordOfATerminatedProcessIsFoundOnOtherNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for range 50 {
 			s := &store{keys: map[string][]byte{}}
 			nodes := newFleet(s, 80)
-			p := run(t, s, nodes)
-			older := s.copied()
+			p := startProcess(t, s, nodes)
+			older := s.snapshot()
 
 			assert.NilError(t, p.Keep(t.Context(), "i-1", 100))
 			p.stop()
-			s.back(older)
+			s.restore(older)
 
-			assert.Assert(t, departed(t, run(t, s, nodes).Departures))
+			assert.Assert(t, departed(t, startProcess(t, s, nodes).Departures))
 		}
 	})
 }
 
-// A process found the record when it started, and forgets the leaving once the store and others do.
-func TestAProcessThatFoundALeavingGoesOnKnowingIt(t *testing.T) {
+// A process finds a record when it starts. Guards against losing it once the store and the
+// other nodes no longer have it.
+func TestProcessAdoptsARecordThatItFinds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, others := range []int{1, 8} {
 			s := &store{keys: map[string][]byte{}}
 			nodes := newFleet(s, others)
-			older := s.copied()
+			older := s.snapshot()
 
-			first := run(t, s, nodes)
+			first := startProcess(t, s, nodes)
 			assert.NilError(t, first.Keep(t.Context(), "i-1", 100))
 			first.stop()
 
 			if others > 1 {
-				s.back(older) // it lies with the other nodes alone
+				s.restore(older) // only the other nodes still hold the record
 			}
 
-			second := run(t, s, nodes)
+			second := startProcess(t, s, nodes)
 			assert.Assert(t, departed(t, second.Departures))
 
-			time.Sleep(time.Second) // nobody is asked any more
+			time.Sleep(time.Second) // all queries have ended
 			synctest.Wait()
 			clear(nodes)
-			s.back(older)
+			s.restore(older)
 			second.epoch.Observe(2)
 			assert.Assert(t, departed(t, second.Departures), "%d nodes", others)
 			time.Sleep(2 * time.Second)
 			second.stop()
 
-			third := run(t, s, nodes)
+			third := startProcess(t, s, nodes)
 			assert.Assert(t, departed(t, third.Departures), "%d nodes", others)
 
 			later, err := third.Departed(t.Context(), "i-1", 101)
 			assert.NilError(t, err)
-			assert.Assert(t, !later, "a later start is free")
+			assert.Assert(t, !later, "a later instance is not covered")
 		}
 	})
 }
 
-// late is a node that gets to know the others some time after its start.
-type late struct {
+// lateFleet is the view of a node that learns of the other nodes some time after its start.
+type lateFleet struct {
 	fleet
 
-	known time.Time
+	membersKnownAt time.Time
 }
 
-func (l late) Ranked(key string, count int) []membership.Record {
-	if time.Now().Before(l.known) {
+func (l lateFleet) Ranked(key string, count int) []membership.Record {
+	if time.Now().Before(l.membersKnownAt) {
 		return nil
 	}
 
 	return l.fleet.Ranked(key, count)
 }
 
-// A heartbeat comes before the next process knows whom to ask, and the store lost the record.
-func TestAProcessThatKnowsNobodyYetWaitsForThoseWhoHoldTheRecord(t *testing.T) {
+// The store has lost the record, and a heartbeat arrives before the next process knows the
+// other nodes.
+func TestDepartedWaitsUntilMembersAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const meets = 50 * time.Millisecond
+		const joinDelay = 50 * time.Millisecond
 
 		s := &store{keys: map[string][]byte{}}
 		nodes := newFleet(s, 8)
-		older := s.copied()
+		older := s.snapshot()
 
 		assert.NilError(t, nodes["a"].Keep(t.Context(), "i-1", 100))
-		s.back(older)
+		s.restore(older)
 
-		next := late{fleet{nodes, "a"}, time.Now().Add(meets)}
+		next := lateFleet{fleet{nodes, "a"}, time.Now().Add(joinDelay)}
 		assert.Assert(t, departed(t, tombstone.New(s, next, next)))
 
 		began := time.Now()
-		never := late{fleet{nodes, "a"}, time.Now().Add(time.Hour)}
+		never := lateFleet{fleet{nodes, "a"}, time.Now().Add(time.Hour)}
 		assert.Assert(t, !departed(t, tombstone.New(s, never, never)))
 		assert.Assert(t, time.Since(began) <= 400*time.Millisecond, time.Since(began))
 	})
--- a/internal/tombstone/held.go
+++ b/internal/tombstone/held.go
@@ -5,55 +5,55 @@
 	"time"
 )
 
-// record is a leaving that this node holds.
+// record is a confirmed departure that this node holds.
 type record struct {
-	started int64
-	at      time.Time
-	own     bool // this process kept it
-	removes bool // the store will be told to drop it
+	started          int64
+	storedAt         time.Time
+	owned            bool // this process rewrites it after an epoch change
+	removalScheduled bool // a deletion from the store is scheduled
 }
 
-// ServeKeep holds a record for another node.
-func (d *Departures) ServeKeep(_ context.Context, in Instance) (Known, error) {
-	d.hold(in, false)
+// ServeKeep stores a record for another node.
+func (d *Departures) ServeKeep(_ context.Context, in Instance) (Reply, error) {
+	d.add(in, false)
 
-	return Known{Departed: true}, nil
+	return Reply{Departed: true}, nil
 }
 
-// ServeAsk tells another node whether a record is held here.
-func (d *Departures) ServeAsk(_ context.Context, in Instance) (Known, error) {
-	return d.known(in), nil
+// ServeAsk reports to another node whether this node holds a record.
+func (d *Departures) ServeAsk(_ context.Context, in Instance) (Reply, error) {
+	return d.lookup(in), nil
 }
 
-func (d *Departures) hold(i Instance, own bool) {
+func (d *Departures) add(i Instance, owned bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	now := time.Now()
 
-	if len(d.held) >= maxHeld {
-		d.forget(now)
+	if len(d.records) >= maxRecords {
+		d.evictExpired(now)
 	}
 
-	before := d.held[i.ID]
-	after := record{started: max(i.Started, before.started), at: now, own: own || before.own}
-	after.removes = before.removes && after.started == before.started
-	d.held[i.ID] = after
+	before := d.records[i.ID]
+	after := record{started: max(i.Started, before.started), storedAt: now, owned: owned || before.owned}
+	after.removalScheduled = before.removalScheduled && after.started == before.started
+	d.records[i.ID] = after
 }
 
-func (d *Departures) forget(now time.Time) {
-	for id, r := range d.held {
-		if now.Sub(r.at) > life {
-			delete(d.held, id)
+func (d *Departures) evictExpired(now time.Time) {
+	for id, r := range d.records {
+		if now.Sub(r.storedAt) > recordTTL {
+			delete(d.records, id)
 		}
 	}
 }
 
-func (d *Departures) known(i Instance) Known {
+func (d *Departures) lookup(i Instance) Reply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	r, ok := d.held[i.ID]
+	r, ok := d.records[i.ID]
 
-	return Known{Departed: ok && Instance{ID: i.ID, Started: r.started}.binds(i), Started: r.started}
+	return Reply{Departed: ok && Instance{ID: i.ID, Started: r.started}.covers(i), Started: r.started}
 }
--- a/internal/tombstone/random_test.go
+++ b/internal/tombstone/random_test.go
@@ -14,125 +14,127 @@
 )
 
 var (
-	firstSeed = flag.Uint64("seed", 1, "first seed of the random drills")
-	seeds     = flag.Uint64("seeds", 20, "number of seeds of the random drills")
+	firstSeed = flag.Uint64("seed", 1, "first seed of the random scenarios")
+	seeds     = flag.Uint64("seeds", 20, "number of seeds of the random scenarios")
 )
 
-// A confirmed leaving is forgotten in some order of drills, outages, kills and confirmations.
-func TestNoConfirmedLeavingIsForgottenInRandomDrills(t *testing.T) {
+// Guards against a confirmed departure that is lost in some order of store restores,
+// outages, process kills and confirmations.
+func TestNoConfirmedDepartureIsLostInRandomScenarios(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { drills(t, rand.New(rand.NewPCG(seed, seed))) })
+			synctest.Test(t, func(t *testing.T) { runRandomSteps(t, rand.New(rand.NewPCG(seed, seed))) })
 		})
 	}
 }
 
-// rewritten is within what a store that answers has the records of all processes again.
-const rewritten = 4 * time.Second
-
-// drill is a node whose process is killed now and then, others, and a store that is away or
-// comes back older.
-type drill struct {
-	store  *store
-	older  map[string][]byte
-	number uint64
-	away   bool
-	broken time.Time // when the store was away last, or came back older
-
-	others    map[string]*tombstone.Departures
-	restarted time.Time // all others, the last time
-	process   process
-	confirmed map[string]confirmation
+// rewriteTime is the time limit for all processes to rewrite their records in an available
+// store.
+const rewriteTime = 4 * time.Second
+
+// scenario is a node whose process is killed repeatedly, its other nodes, and a store that
+// becomes unavailable or is restored from an older copy.
+type scenario struct {
+	store       *store
+	savedKeys   map[string][]byte
+	epochNumber uint64
+	unavailable bool
+	disruptedAt time.Time // when the store last was unavailable or was restored
+
+	others            map[string]*tombstone.Departures
+	othersRestartedAt time.Time // when all other nodes last restarted
+	process           process
+	confirmed         map[string]confirmation
 }
 
 type confirmation struct {
 	at     time.Time
-	stored bool // not with nodes alone
+	stored bool // in the store, not only on other nodes
 }
 
-func newDrill(t *testing.T) *drill {
+func newScenario(t *testing.T) *scenario {
 	t.Helper()
 
 	s := &store{keys: map[string][]byte{}}
-	d := &drill{store: s, older: s.copied(), number: 1, others: newFleet(s, 8), confirmed: map[string]confirmation{}}
-	d.process = run(t, s, d.others)
+	d := &scenario{store: s, savedKeys: s.snapshot(), epochNumber: 1, others: newFleet(s, 8), confirmed: map[string]confirmation{}}
+	d.process = startProcess(t, s, d.others)
 
 	return d
 }
 
-func (d *drill) settle() {
-	d.setAway(false)
-	time.Sleep(rewritten)
+func (d *scenario) awaitRewrites() {
+	d.setUnavailable(false)
+	time.Sleep(rewriteTime)
 	synctest.Wait()
 }
 
-func (d *drill) setAway(away bool) {
-	d.away, d.broken = away, time.Now()
-	d.store.setAway(away)
+func (d *scenario) setUnavailable(unavailable bool) {
+	d.unavailable, d.disruptedAt = unavailable, time.Now()
+	d.store.setUnavailable(unavailable)
 }
 
-func (d *drill) keep(t *testing.T, id string) {
+func (d *scenario) keep(t *testing.T, id string) {
 	t.Helper()
 
 	if d.process.Keep(t.Context(), id, 100) == nil {
-		d.confirmed[id] = confirmation{time.Now(), !d.away}
+		d.confirmed[id] = confirmation{time.Now(), !d.unavailable}
 	}
 }
 
-func (d *drill) back() {
-	d.number++
-	d.away, d.broken = false, time.Now()
-	d.store.back(d.older)
-	d.process.epoch.Observe(d.number)
+func (d *scenario) restore() {
+	d.epochNumber++
+	d.unavailable, d.disruptedAt = false, time.Now()
+	d.store.restore(d.savedKeys)
+	d.process.epoch.Observe(d.epochNumber)
 }
 
-// kill ends the process while somebody else holds every record.
-func (d *drill) kill(t *testing.T) {
+// killProcess replaces the process while the store or another node holds every record.
+func (d *scenario) killProcess(t *testing.T) {
 	t.Helper()
 
-	if !d.restarted.IsZero() {
-		d.settle()
+	if !d.othersRestartedAt.IsZero() {
+		d.awaitRewrites()
 	}
 
 	d.process.stop()
-	d.process = run(t, d.store, d.others)
-	d.process.epoch.Observe(d.number)
+	d.process = startProcess(t, d.store, d.others)
+	d.process.epoch.Observe(d.epochNumber)
 }
 
-// restart ends all others once the store holds what it should.
-func (d *drill) restart() {
-	d.settle()
+// restartOthers replaces all other nodes once the store holds all records.
+func (d *scenario) restartOthers() {
+	d.awaitRewrites()
 
 	for id := range d.others {
 		f := fleet{d.others, id}
 		d.others[id] = tombstone.New(d.store, f, f)
 	}
 
-	d.restarted = time.Now()
+	d.othersRestartedAt = time.Now()
 }
 
-// check has the process, and one that would follow it now, tell of each confirmed leaving.
-func (d *drill) check(t *testing.T, step int) {
+// check asserts that the process and a hypothetical successor report each confirmed departure.
+func (d *scenario) check(t *testing.T, step int) {
 	t.Helper()
 
 	for id, c := range d.confirmed {
-		lost := !c.stored && c.at.Before(d.restarted)
+		lost := !c.stored && c.at.Before(d.othersRestartedAt)
 		if lost || time.Since(c.at) > time.Minute {
 			delete(d.confirmed, id)
 
 			continue
 		}
 
-		// It lies with this process alone for a moment.
-		if c.at.After(d.restarted) || (!d.away && time.Since(d.broken) >= rewritten) {
-			d.knows(t, tombstone.New(d.store, fleet{d.others, "a"}, fleet{d.others, "a"}), id, step)
+		// After a disruption, only this process may hold the record until the rewrite.
+		if c.at.After(d.othersRestartedAt) || (!d.unavailable && time.Since(d.disruptedAt) >= rewriteTime) {
+			d.assertDeparted(t, tombstone.New(d.store, fleet{d.others, "a"}, fleet{d.others, "a"}), id, step)
 		}
 
-		d.knows(t, d.process.Departures, id, step)
+		d.assertDeparted(t, d.process.Departures, id, step)
 	}
 }
 
-func (d *drill) knows(t *testing.T, process *tombstone.Departures, id string, step int) {
+func (d *scenario) assertDeparted(t *testing.T, process *tombstone.Departures, id string, step int) {
 	t.Helper()
 
 	gone, err := process.Departed(t.Context(), id, 100)
@@ -140,28 +142,28 @@
 	synctest.Wait()
 }
 
-// drills plays some steps.
-func drills(t *testing.T, random *rand.Rand) {
+// runRandomSteps runs a random sequence of steps and checks all records after each.
+func runRandomSteps(t *testing.T, random *rand.Rand) {
 	t.Helper()
 
 	const steps = 60
 
-	d := newDrill(t)
+	d := newScenario(t)
 
 	for step := range steps {
 		switch random.IntN(9) {
 		case 0, 1, 2:
 			d.keep(t, "i-"+strconv.Itoa(step))
 		case 3:
-			d.back()
+			d.restore()
 		case 4:
-			d.kill(t)
+			d.killProcess(t)
 		case 5:
-			d.setAway(random.IntN(2) == 0)
+			d.setUnavailable(random.IntN(2) == 0)
 		case 6:
-			d.older = d.store.copied()
+			d.savedKeys = d.store.snapshot()
 		case 7:
-			d.restart()
+			d.restartOthers()
 		case 8:
 			time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
 		}
--- a/internal/tombstone/tombstone.go
+++ b/internal/tombstone/tombstone.go
@@ -1,28 +1,30 @@
-// Package tombstone keeps which backend servers were confirmed to leave, beyond
-// the life of the process that confirmed it.
+// Package tombstone keeps durable records of backend server instances whose departure
+// was confirmed.
 //
-// # What goes wrong without it
+// # Problem
 //
-// A node confirms that its backend server may leave and is killed in the next
-// moment. The process that follows it hears a heartbeat that was sent before, takes
-// the backend server for ready and sends it calls, which are cut off when it ends.
+// A node confirms the departure of its backend server and is killed immediately after.
+// Its next process receives a heartbeat that was sent earlier, considers the backend
+// server ready and sends it calls, which are cut off when the backend server ends.
 //
-// The record lies in the platform's store, and other nodes hold it in memory. While the
-// store can't be reached a leaving is kept once Copies of them have it. Which nodes these
-// are follows from the instance, so that the next process asks the same ones. Of 85 nodes
-// that are drawn, eight know of a record on two others in 18 of 100 cases.
+// Records are written to the platform's store and copied to the memory of other nodes.
+// While the store is unavailable, MinCopies copies are enough for a confirmation. The
+// instance ID determines which nodes hold the copies, so that the next process queries
+// the same ones. With nodes chosen at random instead, querying eight of 85 nodes finds a
+// record held by two of them in only 18 of 100 cases.
 //
-// The store may come back from an older copy, without records that it acknowledged. Who
-// made one writes it again when the store's epoch changes, and if that process is gone by
-// then, the next one finds it at the other nodes.
+// The store may be restored from an older copy that lacks acknowledged records. Each
+// process rewrites its records when the store's epoch changes. If that process has
+// ended, the next one finds the records on the other nodes.
 //
 // # Usage
 //
 //	d := tombstone.New(store, peers, members)
 //	server.Handle(tombstone.MethodKeep, peer.Typed(d.ServeKeep))
+//	server.Handle(tombstone.MethodAsk, peer.Typed(d.ServeAsk))
 //	go d.Run(ctx)
-//	err := d.Keep(ctx, instance)
-//	gone, err := d.Departed(ctx, instance)
+//	err := d.Keep(ctx, id, started)
+//	departed, err := d.Departed(ctx, id, started)
 package tombstone
 
 import (
@@ -43,44 +45,45 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// ErrNotKept means that neither the store nor enough nodes hold the record.
+// ErrNotKept means that the record could not be stored or looked up: the store is
+// unavailable, and too few nodes hold or report the record.
 var ErrNotKept = errs.New("departures.not_kept", http.StatusServiceUnavailable, "the leaving could not be kept")
 
-// Methods between nodes.
+// Methods of the protocol between nodes.
 const (
 	MethodKeep = "Departures.Keep"
 	MethodAsk  = "Departures.Ask"
 )
 
-// Prefix of the records' keys; the instance follows.
+// Prefix of the store keys; the instance ID follows.
 const Prefix = "pollencart/departures/"
 
 const (
-	// Copies is how many other nodes are enough while the store does not hold a record:
-	// one may end together with this one.
-	Copies = 2
-	// holders and holdersNear are how many nodes of all and of the own failure domain
-	// are asked to hold a record: some may be out of reach, or all but the own failure
-	// domain.
-	holders     = 4
-	holdersNear = 2
-	// storeTime is ten times what a busy store needs; a confirmation that takes
-	// longer than a second is of no use to the backend server.
-	storeTime = 300 * time.Millisecond
-	// peerTime bounds each question to a node.
-	peerTime = 300 * time.Millisecond
-	// meetTime is ten times what a process needs to know others after its start; it looks
-	// again each meetPause.
-	meetTime  = 300 * time.Millisecond
-	meetPause = 10 * time.Millisecond
-	// life is how long a record is kept: backend servers end some seconds after
-	// their confirmation, at times many.
-	life = 2 * time.Minute
-	// maxHeld bounds the memory for records of others.
-	maxHeld = 4096
+	// MinCopies is the number of other nodes that must hold a record while the store does
+	// not. One of them may end together with this node.
+	MinCopies = 2
+	// replicas and nearReplicas are the numbers of nodes, in the whole fleet and in
+	// the same failure domain, that receive a copy. Some nodes, or all other failure
+	// domains, may be unreachable.
+	replicas     = 4
+	nearReplicas = 2
+	// storeTimeout is ten times what a busy store needs. A backend server waits one second
+	// for its confirmation.
+	storeTimeout = 300 * time.Millisecond
+	// peerTimeout bounds each query to other nodes.
+	peerTimeout = 300 * time.Millisecond
+	// memberWait is ten times what a process needs to learn of other nodes after its start.
+	// It polls for them at memberPollInterval.
+	memberWait         = 300 * time.Millisecond
+	memberPollInterval = 10 * time.Millisecond
+	// recordTTL outlasts the time between a confirmation and the end of the backend server,
+	// which is usually some seconds and occasionally much longer.
+	recordTTL = 2 * time.Minute
+	// maxRecords is the number of records in memory above which expired ones are evicted.
+	maxRecords = 4096
 )
 
-// Store is what is needed of the platform.
+// Store is the part of the platform's store that this package uses.
 type Store interface {
 	Get(ctx context.Context, key string) (platform.Entry, int64, error)
 	Put(ctx context.Context, e platform.Entry) error
@@ -92,84 +95,85 @@
 	Do(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error
 }
 
-// Members gives other nodes in an order that follows from a key.
+// Members returns other nodes in an order determined by a key.
 type Members interface {
 	Ranked(key string, count int) []membership.Record
-	// RankedIn is Ranked among those of the own failure domain.
+	// RankedIn is like Ranked, limited to the same failure domain.
 	RankedIn(key string, count int) []membership.Record
 }
 
-// Instance names a start of a backend server's process.
+// Instance identifies one run of a backend server's process.
 type Instance struct {
 	ID string `json:"ID" msgpack:"ID"`
-	// Started tells starts of the same ID apart, in Unix milliseconds; 0 if the backend
-	// server did not tell it. A confirmation binds its start and all before it: bound by
-	// the ID alone, a backend server that starts again would stay unused.
+	// Started is the start time in Unix milliseconds, or 0 if the backend server did not
+	// report it. It distinguishes instances with the same ID: a record covers its instance
+	// and all earlier ones. If it covered every instance with the ID, a backend server that
+	// restarts would stay unused.
 	Started int64 `json:"Started" msgpack:"Started"`
 }
 
-// binds reports whether a record of this start is a confirmation of the other's. A
-// start that is not known may be any.
-func (i Instance) binds(o Instance) bool {
+// covers reports whether a record of i confirms the departure of o. An unknown start time
+// matches any.
+func (i Instance) covers(o Instance) bool {
 	return i.ID == o.ID && (o.Started == 0 || i.Started == 0 || o.Started <= i.Started)
 }
 
-// Known says whether a node holds a record.
-type Known struct {
+// Reply reports whether a node holds a record.
+type Reply struct {
 	Departed bool `msgpack:"Departed"`
-	// Started is the start that the record names.
+	// Started is the start time in the record.
 	Started int64 `msgpack:"Started"`
 }
 
-// Departures keeps and finds records.
+// Departures stores and looks up records of confirmed departures.
 type Departures struct {
 	store   Store
 	peers   Peers
 	members Members
-	// epoch is that of the store.
-	epoch    *epoch.Current
-	changed  <-chan struct{} // since this process can have kept a record
-	recorder *timeline.Recorder
+	// epoch is the epoch of the store.
+	epoch        *epoch.Current
+	epochChanged <-chan struct{} // set by WithEpoch, so that Run sees changes from before its start
+	recorder     *timeline.Recorder
 
-	mu   sync.Mutex
-	held map[string]record
+	mu      sync.Mutex
+	records map[string]record
 }
 
-// New returns departures that hold no record.
+// New returns a Departures without records.
 func New(s Store, p Peers, m Members) *Departures {
-	return &Departures{store: s, peers: p, members: m, held: map[string]record{}, epoch: epoch.New(), recorder: timeline.New()}
+	return &Departures{store: s, peers: p, members: m, records: map[string]record{}, epoch: epoch.New(), recorder: timeline.New()}
 }
 
-// Keep returns nil once the record is where a later process finds it.
+// Keep stores the record and returns nil once a later process can find it.
 func (d *Departures) Keep(ctx context.Context, id string, started int64) error {
 	instance := Instance{ID: id, Started: started}
-	d.hold(instance, true)
+	d.add(instance, true)
 
 	copied := make(chan int, 1)
 
-	go func() { copied <- len(d.askAll(ctx, d.holders(id), MethodKeep, instance, Copies)) }()
+	go func() { copied <- len(d.queryAll(ctx, d.replicas(id), MethodKeep, instance, MinCopies)) }()
 
 	storeErr := d.write(ctx, instance)
 	copies := <-copied
 
 	if storeErr == nil {
-		d.removeLater(instance)
+		d.scheduleRemoval(instance)
 
 		return nil
 	}
 
-	if copies >= Copies {
+	if copies >= MinCopies {
 		return nil
 	}
 
 	return ErrNotKept.With("%s: %d copies", id, copies).Wrap(storeErr)
 }
 
-// holders returns the nodes that hold the record of an instance if the store does not.
-func (d *Departures) holders(instance string) []string {
+// replicas returns the addresses of the nodes that hold copies of an instance's record.
+func (d *Departures) replicas(instance string) []string {
 	var out []string
 
-	for _, r := range append(d.members.Ranked(instance, holders), d.members.RankedIn(instance, holdersNear)...) {
+	for _, r := range append(d.members.Ranked(instance, replicas), d.members.RankedIn(instance, nearReplicas)...) {
 		if !slices.Contains(out, r.PeerAddress) {
 			out = append(out, r.PeerAddress)
 		}
@@ -178,26 +182,26 @@
 	return out
 }
 
-// askAll asks nodes at the same time and returns the first answers, at most as many as
-// are enough. One that is gone must not hold up the others' word.
-func (d *Departures) askAll(ctx context.Context, addresses []string, method string, instance Instance, enough int) []Known {
-	ctx, cancel := context.WithTimeout(ctx, peerTime)
+// queryAll queries nodes concurrently and returns the first replies, up to enough of
+// them, so that an unreachable node does not delay the result.
+func (d *Departures) queryAll(ctx context.Context, addresses []string, method string, instance Instance, enough int) []Reply {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 
-	answers := make(chan *Known, len(addresses))
+	answers := make(chan *Reply, len(addresses))
 
 	for _, address := range addresses {
 		go func() {
-			k := &Known{}
+			k := &Reply{}
 			if d.peers.Do(ctx, address, peer.LaneControl, method, instance, k) != nil {
-				k = nil // it tells nothing
+				k = nil // failed queries count as no reply
 			}
 
 			answers <- k
 		}()
 	}
 
-	var out []Known
+	var out []Reply
 
 	for range addresses {
 		if k := <-answers; k != nil {
@@ -213,7 +217,7 @@
 }
 
 func (d *Departures) write(ctx context.Context, instance Instance) error {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 
 	value, err := json.Marshal(instance)
@@ -224,49 +228,49 @@
 	return d.store.Put(ctx, platform.Entry{Key: Prefix + instance.ID, Value: value})
 }
 
-// remove drops a record that nobody needs any more. One that stays behind since
-// this process ended first does no harm: later starts are not bound by it. One that was
-// written anew for a later start stays.
+// remove deletes an expired record from the store, unless a later instance has replaced
+// it. A record left behind by a process that ended first is harmless: it does not cover
+// later instances.
 func (d *Departures) remove(instance Instance) {
-	if !d.removing(instance) {
+	if !d.beginRemoval(instance) {
 		return
 	}
 
-	ctx, cancel := context.WithTimeout(context.Background(), storeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 
-	_ = d.store.Delete(ctx, Prefix+instance.ID) // see above
+	_ = d.store.Delete(ctx, Prefix+instance.ID) // a record left behind is harmless
 }
 
-// Departed reports whether a start was confirmed to leave, or one after it; a start of
-// 0 is any. The error means that the store could not be asked, and no node that was
-// asked knows of it.
+// Departed reports whether the departure of the instance, or of a later one with the same
+// ID, was confirmed. A start time of 0 matches any instance. An error means that the store
+// is unavailable and that no contacted node has the record.
 func (d *Departures) Departed(ctx context.Context, id string, started int64) (bool, error) {
 	instance := Instance{ID: id, Started: started}
-	if d.known(instance).Departed {
+	if d.lookup(instance).Departed {
 		return true, nil
 	}
 
-	// A record may lie with nodes alone, if the store was away when it was made. They
-	// are asked beside it.
-	asked := make(chan []Known, 1)
+	// If the store was unavailable when the record was made, only other nodes hold it.
+	// They are queried while the store is read.
+	replies := make(chan []Reply, 1)
 
 	go func() {
-		holders := d.awaitHolders(ctx, id)
-		asked <- d.askAll(ctx, holders, MethodAsk, instance, len(holders)-Copies+1)
+		nodes := d.awaitReplicas(ctx, id)
+		replies <- d.queryAll(ctx, nodes, MethodAsk, instance, len(nodes)-MinCopies+1)
 	}()
 
-	kept, storeErr := d.read(ctx, id)
-	if storeErr == nil && kept.binds(instance) {
-		d.found(kept)
+	stored, storeErr := d.read(ctx, id)
+	if storeErr == nil && stored.covers(instance) {
+		d.adopt(stored)
 
 		return true, nil
 	}
 
-	answers := <-asked
+	answers := <-replies
 	for _, k := range answers {
 		if k.Departed {
-			d.found(Instance{ID: id, Started: k.Started})
+			d.adopt(Instance{ID: id, Started: k.Started})
 
 			return true, nil
 		}
@@ -279,32 +283,32 @@
 	return false, ErrNotKept.With("%s: %d nodes asked", id, len(answers)).Wrap(storeErr)
 }
 
-// awaitHolders returns the holders of a record, which a process that has just started may not
-// know yet.
-func (d *Departures) awaitHolders(ctx context.Context, id string) []string {
-	out := d.holders(id)
+// awaitReplicas returns the nodes that may hold a record. A process that has just
+// started waits up to memberWait to learn of them.
+func (d *Departures) awaitReplicas(ctx context.Context, id string) []string {
+	out := d.replicas(id)
 
-	for began := time.Now(); len(out) == 0 && ctx.Err() == nil && time.Since(began) < meetTime; out = d.holders(id) {
-		idle.For(ctx, meetPause)
+	for began := time.Now(); len(out) == 0 && ctx.Err() == nil && time.Since(began) < memberWait; out = d.replicas(id) {
+		idle.For(ctx, memberPollInterval)
 	}
 
 	return out
 }
 
-// found takes over a record of an earlier process on this host, which can't write it again.
-// One that names no start binds any, and is not taken further than it is.
-func (d *Departures) found(i Instance) {
+// adopt takes over the record of an earlier process on this host, so that this process
+// rewrites it after an epoch change. A record without a start time covers every instance
+// and is not adopted.
+func (d *Departures) adopt(i Instance) {
 	if i.Started != 0 {
-		d.hold(i, true)
+		d.add(i, true)
 	}
 }
 
-// read returns the record of an instance. One whose value can't be read was still
-// written for this instance, so it binds every start: a backend server that is used
-// again after it was confirmed to leave cuts calls off, one that is not costs its slots
-// until the record goes.
+// read returns the stored record of an instance ID. An unreadable value still shows that a
+// departure was confirmed, so it covers every instance: reusing a departed backend server
+// cuts calls off, while leaving one unused only costs its slots until the record expires.
 func (d *Departures) read(ctx context.Context, id string) (Instance, error) {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 
 	e, _, err := d.store.Get(ctx, Prefix+id)
@@ -312,10 +316,10 @@
 		return Instance{}, err
 	}
 
-	var kept Instance
-	if json.Unmarshal(e.Value, &kept) != nil || kept.ID != id {
+	var stored Instance
+	if json.Unmarshal(e.Value, &stored) != nil || stored.ID != id {
 		return Instance{ID: id}, nil
 	}
 
-	return kept, nil
+	return stored, nil
 }
--- a/internal/tombstone/tombstone_test.go
+++ b/internal/tombstone/tombstone_test.go
@@ -18,12 +18,12 @@
 	"github.com/pollencart/pollencart/internal/tombstone"
 )
 
-// store is the platform's store.
+// store is an in-memory store of the platform.
 type store struct {
-	mu   sync.Mutex
-	keys map[string][]byte
-	away bool
-	puts int
+	mu          sync.Mutex
+	keys        map[string][]byte
+	unavailable bool
+	puts        int
 }
 
 func (s *store) Get(_ context.Context, key string) (platform.Entry, int64, error) {
@@ -31,7 +31,7 @@
 	defer s.mu.Unlock()
 
 	switch {
-	case s.away:
+	case s.unavailable:
 		return platform.Entry{}, 0, platform.ErrUnavailable
 	case s.keys[key] == nil:
 		return platform.Entry{}, 0, platform.ErrNotFound
@@ -46,7 +46,7 @@
 
 	s.puts++
 
-	if s.away {
+	if s.unavailable {
 		return platform.ErrUnavailable
 	}
 
@@ -55,16 +55,16 @@
 	return nil
 }
 
-func (s *store) setAway(away bool) {
+func (s *store) setUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.away = away
+	s.unavailable = unavailable
 }
 
 func (s *store) Delete(context.Context, string) error { return nil }
 
-// fleet carries messages between nodes, and gives the others in an order.
+// fleet delivers messages between nodes and ranks the other nodes.
 type fleet struct {
 	nodes map[string]*tombstone.Departures
 	self  string
@@ -79,9 +79,9 @@
 	var err error
 
 	if method == tombstone.MethodKeep {
-		*out.(*tombstone.Known), err = n.ServeKeep(ctx, in.(tombstone.Instance))
+		*out.(*tombstone.Reply), err = n.ServeKeep(ctx, in.(tombstone.Instance))
 	} else {
-		*out.(*tombstone.Known), err = n.ServeAsk(ctx, in.(tombstone.Instance))
+		*out.(*tombstone.Reply), err = n.ServeAsk(ctx, in.(tombstone.Instance))
 	}
 
 	return err
@@ -116,9 +116,9 @@
 	return nodes
 }
 
-// A node confirms that its backend server may leave and is killed. The next process
-// on the host finds that in the store.
-func TestTheNextProcessFindsIt(t *testing.T) {
+// A node confirms the departure of its backend server and is killed. The next process on
+// the host finds the record in the store.
+func TestNextProcessFindsTheRecord(t *testing.T) {
 	s := &store{keys: map[string][]byte{}}
 	nodes := newFleet(s, 2)
 	assert.NilError(t, nodes["a"].Keep(context.Background(), "i-1", 0))
@@ -134,10 +134,10 @@
 	assert.Assert(t, !departed)
 }
 
-// The store is away when the leaving is confirmed, and also when the next process
-// starts. Other nodes hold it meanwhile.
-func TestOthersHoldItWhileTheStoreIsAway(t *testing.T) {
-	s := &store{keys: map[string][]byte{}, away: true}
+// The store is unavailable both when the departure is confirmed and when the next process
+// starts. Other nodes hold the record meanwhile.
+func TestOtherNodesHoldTheRecordWhileTheStoreIsUnavailable(t *testing.T) {
+	s := &store{keys: map[string][]byte{}, unavailable: true}
 	nodes := newFleet(s, 4)
 	assert.NilError(t, nodes["a"].Keep(context.Background(), "i-1", 0))
 
@@ -147,19 +147,19 @@
 	assert.Assert(t, departed)
 }
 
-// The store was away when one of many nodes confirmed a leaving and was killed. The next
-// process asks those that hold the record, not others; else it takes the backend server
-// for one that stays, and calls sent there are cut off when it ends.
-func TestARecordThatLiesWithNodesAloneIsFoundAmongMany(t *testing.T) {
-	s := &store{keys: map[string][]byte{}, away: true}
+// The store is unavailable when one of many nodes confirms a departure and is killed.
+// Guards against a next process that queries other nodes than those that hold the record,
+// and sends calls that are cut off when the backend server ends.
+func TestRecordHeldOnlyByNodesIsFoundInALargeFleet(t *testing.T) {
+	s := &store{keys: map[string][]byte{}, unavailable: true}
 	nodes := newFleet(s, 80)
 
 	for i := range 50 {
 		instance := "i-" + strconv.Itoa(i)
-		s.away = true
+		s.unavailable = true
 		assert.NilError(t, nodes["a"].Keep(context.Background(), instance, 0))
 
-		s.away = false
+		s.unavailable = false
 		f := fleet{nodes, "a"}
 		departed, err := tombstone.New(s, f, f).Departed(context.Background(), instance, 0)
 		assert.NilError(t, err)
@@ -167,30 +167,29 @@
 	}
 }
 
-// The store is away and too few other nodes can be reached: it is not kept.
-func TestOneCopyIsNotEnough(t *testing.T) {
-	nodes := newFleet(&store{away: true}, 2)
+// The store is unavailable and too few other nodes are reachable.
+func TestKeepFailsWithOneCopy(t *testing.T) {
+	nodes := newFleet(&store{unavailable: true}, 2)
 	assert.ErrorIs(t, nodes["a"].Keep(context.Background(), "i-1", 0), tombstone.ErrNotKept)
 }
 
-// Nobody can be asked. That is not the same as nobody knowing of it.
-func TestNobodyCanBeAsked(t *testing.T) {
-	nodes := newFleet(&store{away: true}, 1)
+// An unreachable store and fleet must not be taken for the absence of a record.
+func TestDepartedFailsIfStoreAndNodesAreUnreachable(t *testing.T) {
+	nodes := newFleet(&store{unavailable: true}, 1)
 	_, err := nodes["a"].Departed(context.Background(), "i-1", 0)
 	assert.ErrorIs(t, err, tombstone.ErrNotKept)
 }
 
-// A backend server was confirmed to leave and starts again under its name. The record
-// binds the start that left and those before it; the next process must find the later
-// one free, or it would stay unused.
-func TestARecordBindsItsStart(t *testing.T) {
-	for name, away := range map[string]bool{"in the store": false, "with nodes": true} {
+// A backend server restarts under its ID after a confirmed departure. Guards against a
+// next process that never uses the new instance.
+func TestRecordCoversItsInstanceAndEarlierOnes(t *testing.T) {
+	for name, unavailable := range map[string]bool{"in the store": false, "with nodes": true} {
 		t.Run(name, func(t *testing.T) {
-			s := &store{keys: map[string][]byte{}, away: away}
+			s := &store{keys: map[string][]byte{}, unavailable: unavailable}
 			nodes := newFleet(s, 4)
 			assert.NilError(t, nodes["a"].Keep(context.Background(), "i-1", 100))
 
-			s.away = false
+			s.unavailable = false
 			next := tombstone.New(s, fleet{nodes, "a"}, fleet{nodes, "a"})
 
 			for started, want := range map[int64]bool{0: true, 99: true, 100: true, 101: false} {
@@ -202,9 +201,9 @@
 	}
 }
 
-// Somebody wrote bytes that can't be read over the record. The promise was given, so it
-// holds for every start.
-func TestARecordThatCantBeRead(t *testing.T) {
+// Another writer replaced the record with unreadable bytes. The departure was confirmed,
+// so the record covers every instance.
+func TestUnreadableRecordCoversEveryInstance(t *testing.T) {
 	s := &store{keys: map[string][]byte{tombstone.Prefix + "i-1": []byte("\xff{")}}
 	nodes := newFleet(s, 1)
 
