--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,14 +1,16 @@
-// Package discovery lets nodes find each other through leased records in the
-// platform's store.
+// Package discovery lets nodes find each other through leased records in the platform's
+// store.
 //
-// A few nodes of each failure domain have a record with their peer address, which ends
-// with its lease. What else is known of a node spreads by gossip; records only say whom
-// to ask first. So nothing here is on the way of a call, and a store that is away, or that
-// takes the records of living nodes, takes nobody out: who is met stays met. A store that
-// comes back from an older copy gives out the numbers of leases again; a renewal would be
-// another node's, so records are written again with leases of the new epoch.
+// A few nodes of each failure domain have a record with their peer address, which expires
+// with its lease. Records only provide the first nodes to join; all other membership data
+// spreads by gossip. Calls do not depend on this package: if the store is unavailable or
+// drops the records of live nodes, nodes that have joined stay in the membership table.
 //
-//	r := discovery.New(store, table, gossip.Meet)
+// A store that is restored from an older copy assigns the same lease numbers again, so a
+// renewal could extend the lease of another node. Records are therefore rewritten with
+// leases of the new epoch.
+//
+//	r := discovery.New(store, table, gossip.Meet, recorder, firstStart)
 //	go r.Run(ctx)
 package discovery
 
@@ -28,147 +30,148 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Prefix of the records' keys; the node follows.
+// Prefix of the store keys; the node ID follows.
 const Prefix = "pollencart/nodes/"
 
 const (
-	// leaseTime outlasts most outages of the store; a record that is left behind
-	// costs those who start later one connection attempt each.
-	leaseTime = 30 * time.Second
-	// renewEvery is a third of it, so that two renewals may be lost.
-	renewEvery = 10 * time.Second
-	// firstPause and lastPause bound the pause between tries while the store does
-	// not answer.
-	firstPause = 100 * time.Millisecond
-	lastPause  = 4 * time.Second
-	// renewPause is the pause after the first renewal that failed: the lease outlasts
-	// two renewals.
-	renewPause = 2 * time.Second
-	// spreadChange is within what records are written again after a change of the epoch:
-	// those who start meanwhile find some of them.
-	spreadChange = 1500 * time.Millisecond
-	callTime     = time.Second
-	// meetAtOnce is how many recorded nodes are met by one that knows nobody: each gives
-	// it the records of all others, which more at once would fill a slow link with.
-	meetAtOnce = 3
-	// recordsEach is how many nodes of a failure domain have a record: enough that one of
-	// them is there after a host in two was lost. A record costs two calls and its renewals.
-	recordsEach = 4
-	// firstSpread is within what the nodes of a fleet that starts for the first time look
-	// for records: longer than lists are old, so that most find those of the first few and
-	// write none. No callers wait for them yet.
-	firstSpread = 800 * time.Millisecond
-	// lookers is how many nodes of the fleet look at each renewal whether there are
-	// records of nodes that they do not know. Each is an old list, a tenth of a call.
-	lookers = 8
+	// leaseTTL outlasts most outages of the store. A record left behind costs each node that
+	// starts later one connection attempt.
+	leaseTTL = 30 * time.Second
+	// renewInterval is a third of leaseTTL, so that two renewals may fail.
+	renewInterval = 10 * time.Second
+	// minBackoff and maxBackoff bound the delay between retries while the store does not
+	// respond.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 4 * time.Second
+	// renewBackoff is the delay after the first failed renewal. The lease outlasts two
+	// failed renewals.
+	renewBackoff = 2 * time.Second
+	// rewriteSpread is the interval over which nodes spread their rewrites after an epoch
+	// change. Nodes that start meanwhile find some of the records.
+	rewriteSpread = 1500 * time.Millisecond
+	callTimeout   = time.Second
+	// joinCount is the number of recorded nodes that a node without known peers joins at a
+	// time. Each sends all member records, and more of them would saturate a slow link.
+	joinCount = 3
+	// recordsPerDomain is the number of nodes of a failure domain that have a record. With
+	// four, one of them remains after half of the hosts are lost. A record costs two calls
+	// and its renewals.
+	recordsPerDomain = 4
+	// firstStartSpread is the interval over which the nodes of a fleet that starts for the
+	// first time look for records. It exceeds the staleness of lists, so that most nodes find
+	// the first few records and write none. No callers wait for the nodes yet.
+	firstStartSpread = 800 * time.Millisecond
+	// rescanNodes is the number of nodes in the fleet that look for records of unknown nodes
+	// at each renewal. Each rescan is a stale list, which costs a tenth of a call.
+	rescanNodes = 8
 )
 
-// Store is what is needed of the platform.
+// Store is the part of the platform's store that this package uses.
 type Store interface {
 	List(ctx context.Context, prefix string, stale bool) ([]platform.Entry, error)
 	Put(ctx context.Context, e platform.Entry) error
-	Grant(ctx context.Context, life time.Duration) (platform.Lease, error)
+	Grant(ctx context.Context, ttl time.Duration) (platform.Lease, error)
 	KeepAlive(ctx context.Context, l platform.Lease) error
 	Delete(ctx context.Context, key string) error
 }
 
-// Meet gets to know the node at an address, and reports whether it answered.
-type Meet func(ctx context.Context, address string) bool
+// Join exchanges member records with the node at an address and reports whether it replied.
+type Join func(ctx context.Context, address string) bool
 
-// Rendezvous keeps this node's record and meets the nodes of other records.
+// Rendezvous maintains the record of this node and joins the nodes of other records.
 type Rendezvous struct {
-	store    Store
-	table    *membership.Table
-	meet     Meet
-	recorder *timeline.Recorder
-	epoch    *epoch.Current
-	changed  <-chan struct{} // since the epoch of the lease
+	store        Store
+	table        *membership.Table
+	join         Join
+	recorder     *timeline.Recorder
+	epoch        *epoch.Current
+	epochChanged <-chan struct{} // signals the end of the epoch of the lease
 
 	lease platform.Lease
-	// written says that there is a record, for who leaves while Run goes on.
-	written atomic.Bool
-	lost    bool
-	met     bool // enough others, before the record was written
-	again   bool // the record may have been lost with an epoch
-	// spared says that others of the failure domain had records, and answered, when this
-	// process looked first.
-	spared bool
-	// alone says that nobody can have been there before this node.
-	alone bool
+	// registered reports that the record was written. Leave reads it while Run goes on.
+	registered atomic.Bool
+	storeLost  bool
+	joined     bool // enough other nodes joined before the record was written
+	rewrite    bool // the record may have been lost in an epoch change
+	// skipRecord reports that, when this process started, enough other nodes of the failure
+	// domain had records and some node joined.
+	skipRecord bool
+	// firstStart reports that no node can have started before this one.
+	firstStart bool
 }
 
-// New returns a rendezvous of the node whose table it is.
-func New(s Store, t *membership.Table, m Meet, r *timeline.Recorder, firstStart bool) *Rendezvous {
-	return (&Rendezvous{store: s, table: t, meet: m, recorder: r, alone: firstStart}).WithEpoch(epoch.New())
+// New returns a Rendezvous for the node that owns the table.
+func New(s Store, t *membership.Table, j Join, r *timeline.Recorder, first bool) *Rendezvous {
+	return (&Rendezvous{store: s, table: t, join: j, recorder: r, firstStart: first}).WithEpoch(epoch.New())
 }
 
-// WithEpoch sets the epoch of the store. A lease of one says nothing in the next: its number
-// may be another's there.
+// WithEpoch sets the epoch of the store. A lease is valid only in its own epoch: in the
+// next one, its number may belong to another node.
 func (r *Rendezvous) WithEpoch(e *epoch.Current) *Rendezvous {
-	r.epoch, r.changed = e, e.Changed()
+	r.epoch, r.epochChanged = e, e.Changed()
 
 	return r
 }
 
-// Run keeps the record and meets others until ctx ends.
+// Run maintains the record and joins other nodes until ctx ends.
 func (r *Rendezvous) Run(ctx context.Context) {
-	pause := firstPause
+	backoff := minBackoff
 
-	r.meetEarlier(ctx)
+	r.joinEarlier(ctx)
 
 	for ctx.Err() == nil {
 		err := r.step(ctx)
-		r.note(err)
+		r.reportStore(err)
 
-		next := renewEvery/2 + rand.N(renewEvery/2)
+		next := renewInterval/2 + rand.N(renewInterval/2)
 		if err != nil {
-			next = pause/2 + rand.N(pause)
-			pause = min(2*pause, lastPause)
+			next = backoff/2 + rand.N(backoff)
+			backoff = min(2*backoff, maxBackoff)
 		} else {
-			pause = renewPause
+			backoff = renewBackoff
 		}
 
-		if idle.Unless(ctx, next, r.changed) {
-			r.begin(ctx)
+		if idle.Unless(ctx, next, r.epochChanged) {
+			r.beginEpoch(ctx)
 		}
 	}
 }
 
-// begin takes a new epoch: the lease is not this node's there, whatever the store says to
-// its number.
-func (r *Rendezvous) begin(ctx context.Context) {
-	r.changed = r.epoch.Changed()
-	r.again = r.again || r.lease != 0
+// beginEpoch drops the lease at an epoch change. It no longer belongs to this node, even if
+// the store accepts its number.
+func (r *Rendezvous) beginEpoch(ctx context.Context) {
+	r.epochChanged = r.epoch.Changed()
+	r.rewrite = r.rewrite || r.lease != 0
 	r.lease = 0
 
-	idle.Unless(ctx, rand.N(spreadChange), r.changed)
+	idle.Unless(ctx, rand.N(rewriteSpread), r.epochChanged)
 }
 
-func (r *Rendezvous) note(err error) {
+func (r *Rendezvous) reportStore(err error) {
 	switch {
-	case err != nil && !r.lost:
-		r.lost = true
+	case err != nil && !r.storeLost:
+		r.storeLost = true
 		r.recorder.Record(event.PlatformLost, timeline.Entry{Detail: "record of this node: " + err.Error()})
-	case err == nil && r.lost:
-		r.lost = false
+	case err == nil && r.storeLost:
+		r.storeLost = false
 		r.recorder.Record(event.PlatformBack, timeline.Entry{Detail: "record of this node"})
 	}
 }
 
-// step renews the record, or writes it if there is none and this node should have one,
-// and meets others if the record was not there or nobody is known.
+// step renews the record, or writes it if it is missing and this node needs one. It then
+// joins other nodes if the record was new or some are unknown.
 func (r *Rendezvous) step(ctx context.Context) error {
-	if r.spared || !r.needsRecord() {
-		r.spared, r.again = false, false
-		r.lease = 0 // a record that is there ends with its lease
+	if r.skipRecord || !r.needsRecord() {
+		r.skipRecord, r.rewrite = false, false
+		r.lease = 0 // an existing record expires with its lease
 
-		return r.lookAgain(ctx)
+		return r.joinMissing(ctx)
 	}
 
 	if r.lease != 0 {
 		err := r.call(ctx, func(ctx context.Context) error { return r.store.KeepAlive(ctx, r.lease) })
 		if err == nil {
-			return r.lookAgain(ctx)
+			return r.joinMissing(ctx)
 		}
 
 		if !errors.Is(err, platform.ErrNotFound) {
@@ -180,35 +183,35 @@
 		return err
 	}
 
-	if r.again {
-		r.again = false
+	if r.rewrite {
+		r.rewrite = false
 		r.recorder.Record(event.PlatformRewritten, timeline.Entry{Detail: "record of this node"})
 
-		return nil // others are known
+		return nil // other nodes have joined before
 	}
 
-	if r.met {
-		r.met = false
+	if r.joined {
+		r.joined = false
 
 		return nil
 	}
 
-	_, err := r.meetOthers(ctx, false)
+	_, err := r.joinOthers(ctx, false)
 
 	return err
 }
 
-// needsRecord reports whether this node is one of those of its failure domain that have
-// a record. Nodes that know different others make too many or too few for a moment. Too
-// many cost calls; with too few, those who start meet nodes of other failure domains.
+// needsRecord reports whether this node is one of those of its failure domain that have a
+// record. While membership views differ, too many or too few nodes have one. Too many cost
+// calls; with too few, nodes that start join nodes of other failure domains.
 func (r *Rendezvous) needsRecord() bool {
 	self := r.table.Self()
 
-	return r.table.Chosen(self.ID, self.FailureDomain, recordsEach)
+	return r.table.Chosen(self.ID, self.FailureDomain, recordsPerDomain)
 }
 
 func (r *Rendezvous) call(ctx context.Context, f func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
 	return f(ctx)
@@ -220,7 +223,7 @@
 	var lease platform.Lease
 
 	err := r.call(ctx, func(ctx context.Context) (err error) {
-		lease, err = r.store.Grant(ctx, leaseTime)
+		lease, err = r.store.Grant(ctx, leaseTTL)
 
 		return err
 	})
@@ -240,19 +243,19 @@
 	})
 	if err == nil {
 		r.lease = lease
-		r.written.Store(true)
+		r.registered.Store(true)
 	}
 
 	return err
 }
 
-// Leave removes the record, if there is one.
+// Leave deletes the record, if there is one.
 func (r *Rendezvous) Leave(ctx context.Context) {
-	if !r.written.Load() {
+	if !r.registered.Load() {
 		return
 	}
 
-	_ = r.call(ctx, func(ctx context.Context) error { // it ends with its lease otherwise
+	_ = r.call(ctx, func(ctx context.Context) error { // otherwise the record expires with its lease
 		return r.store.Delete(ctx, Prefix+r.table.Self().ID)
 	})
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,29 +21,29 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// store holds leased records.
+// store is an in-memory store with leased records.
 type store struct {
-	mu     sync.Mutex
-	keys   map[string]platform.Entry
-	leases map[platform.Lease]bool
-	ends   map[platform.Lease]time.Time
-	last   platform.Lease
-	number uint64 // of changes of the epoch
-	away   bool
-	calls  int
-	// stale is how many of the calls were lists that may be old, which cost a tenth. They
-	// lack what was written within the lag.
+	mu          sync.Mutex
+	keys        map[string]platform.Entry
+	leases      map[platform.Lease]bool
+	expires     map[platform.Lease]time.Time
+	last        platform.Lease
+	epochNumber uint64 // epoch changes so far
+	unavailable bool
+	calls       int
+	// stale counts the calls that were stale lists, which cost a tenth. Stale lists lack
+	// writes more recent than lag.
 	stale   int
 	lag     time.Duration
 	written map[string]time.Time
-	// readOnly has writes fail.
+	// readOnly makes writes fail.
 	readOnly bool
 	delay    time.Duration
 }
 
 func newStore() *store {
 	return &store{
-		keys: map[string]platform.Entry{}, leases: map[platform.Lease]bool{}, ends: map[platform.Lease]time.Time{},
+		keys: map[string]platform.Entry{}, leases: map[platform.Lease]bool{}, expires: map[platform.Lease]time.Time{},
 		written: map[string]time.Time{},
 	}
 }
@@ -55,7 +55,7 @@
 
 	s.calls++
 
-	if s.away {
+	if s.unavailable {
 		return platform.ErrUnavailable
 	}
 
@@ -103,14 +103,14 @@
 	})
 }
 
-func (s *store) Grant(_ context.Context, life time.Duration) (platform.Lease, error) {
+func (s *store) Grant(_ context.Context, ttl time.Duration) (platform.Lease, error) {
 	var granted platform.Lease
 
 	err := s.call(func() error {
 		s.last++
 		granted = s.last
 		s.leases[s.last] = true
-		s.ends[s.last] = time.Now().Add(life)
+		s.expires[s.last] = time.Now().Add(ttl)
 
 		return nil
 	})
@@ -119,14 +119,14 @@
 }
 
 func (s *store) KeepAlive(_ context.Context, l platform.Lease) error {
-	const life = 30 * time.Second
+	const ttl = 30 * time.Second
 
 	return s.call(func() error {
 		if !s.leases[l] {
 			return platform.ErrNotFound
 		}
 
-		s.ends[l] = time.Now().Add(life)
+		s.expires[l] = time.Now().Add(ttl)
 
 		return nil
 	})
@@ -147,14 +147,14 @@
 	f()
 }
 
-// expire drops the keys whose leases have ended.
+// expire deletes the keys whose leases have expired.
 func (s *store) expire() {
-	maps.DeleteFunc(s.keys, func(_ string, e platform.Entry) bool { return e.Lease != 0 && !time.Now().Before(s.ends[e.Lease]) })
+	maps.DeleteFunc(s.keys, func(_ string, e platform.Entry) bool { return e.Lease != 0 && !time.Now().Before(s.expires[e.Lease]) })
 }
 
 func (s *store) size() int { return len(s.ids()) }
 
-// ids returns the nodes that have a record.
+// ids returns the IDs of the nodes that have a record.
 func (s *store) ids() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,14 +169,14 @@
 	return out
 }
 
-// asked is how many calls are paid for.
-func (s *store) asked() float64 {
-	const spared = 0.9 // of a list that may be old
+// cost returns the number of billed calls.
+func (s *store) cost() float64 {
+	const discount = 0.9 // for a stale list
 
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return float64(s.calls) - spared*float64(s.stale)
+	return float64(s.calls) - discount*float64(s.stale)
 }
 
 func (s *store) has(id string) bool {
@@ -188,7 +188,7 @@
 	return ok
 }
 
-// address is where the node n1, n2, ... is met.
+// address returns the peer address of node n1, n2, ...
 func address(id string) string {
 	const octet = 256
 
@@ -204,13 +204,13 @@
 	return membership.NewTable(membership.Record{ID: id, PeerAddress: address(id), FailureDomain: "derby"}, timeline.New())
 }
 
-func start(t *testing.T, s *store, id string) (met func() []string) {
+func start(t *testing.T, s *store, id string) (joined func() []string) {
 	t.Helper()
 
-	return process(t, s, id, true)
+	return startProcess(t, s, id, true)
 }
 
-func process(t *testing.T, s *store, id string, firstStart bool) (met func() []string) {
+func startProcess(t *testing.T, s *store, id string, firstStart bool) (joined func() []string) {
 	t.Helper()
 
 	var (
@@ -245,37 +245,37 @@
 	}
 }
 
-func TestNodesMeet(t *testing.T) {
+func TestNewNodeJoinsARecordedNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		start(t, s, "n1")
 		time.Sleep(time.Second)
 
-		met := start(t, s, "n2")
+		joined := start(t, s, "n2")
 		time.Sleep(time.Second)
-		assert.DeepEqual(t, met(), []string{address("n1")})
+		assert.DeepEqual(t, joined(), []string{address("n1")})
 	})
 }
 
-// A process starts again and the store does not take its record yet, which is slow or
-// at its rate. It has to know the others all the same: without them it has neither
-// settings nor nodes for its callers' calls.
-func TestOthersAreKnownBeforeTheOwnRecordIsWritten(t *testing.T) {
+// A process restarts, and the store is slow or at its rate limit and does not accept its
+// record. The node must still join others: without them it has neither settings nor
+// nodes for its callers' calls.
+func TestNodeJoinsOthersBeforeItsRecordIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		start(t, s, "n1")
 		time.Sleep(time.Second)
 		s.set(func() { s.readOnly = true })
 
-		met := process(t, s, "n2", false)
+		joined := startProcess(t, s, "n2", false)
 		time.Sleep(50 * time.Millisecond)
-		assert.Assert(t, slices.Contains(met(), address("n1")))
+		assert.Assert(t, slices.Contains(joined(), address("n1")))
 	})
 }
 
-// The store takes the record of a living node away, with its lease. The node writes
-// it anew at its next renewal, and nobody who knows it cares.
-func TestARecordThatWasTakenAway(t *testing.T) {
+// The store deletes the record of a live node together with its lease. The node writes the
+// record again at its next renewal.
+func TestDeletedRecordIsRewritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		start(t, s, "n1")
@@ -289,27 +289,26 @@
 	})
 }
 
-// The store is away for a minute. It is asked a bounded number of times, and the
-// record is there soon after it is back.
-func TestAStoreThatIsAway(t *testing.T) {
+// The store is unavailable for a minute. It receives a bounded number of calls, and the
+// record appears soon after the store recovers.
+func TestUnavailableStoreIsContactedRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
-		s.set(func() { s.away = true })
+		s.set(func() { s.unavailable = true })
 		start(t, s, "n1")
 		time.Sleep(time.Minute)
 		s.set(func() {
 			assert.Assert(t, s.calls < 40, "%d", s.calls)
-			s.away = false
+			s.unavailable = false
 		})
 		time.Sleep(7 * time.Second)
 		assert.Assert(t, s.has("n1"))
 	})
 }
 
-// Somebody else writes below the prefix of the records: fields of another type, no
-// address, bytes that are no record. Each names nobody to meet and is told once; the
-// nodes of the other records are met all the same.
-func TestRecordsOfOtherWriters(t *testing.T) {
+// Another writer stores invalid values below the prefix: fields of another type, no address,
+// malformed bytes. Each is skipped and reported once, and nodes with valid records are joined.
+func TestInvalidRecordsAreSkippedAndReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		for i, value := range []string{`{"Address":7}`, `{"FailureDomain":"derby"}`, `{"Address":"nowhere"}`, "\xff\x00{", `[]`, ``} {
@@ -321,10 +320,10 @@
 		time.Sleep(time.Second)
 
 		recorder := timeline.New()
-		var met []string
+		var joined []string
 
 		r := discovery.New(s, table("n2"), func(_ context.Context, address string) bool {
-			met = append(met, address)
+			joined = append(joined, address)
 
 			return true
 		}, recorder, true)
@@ -333,13 +332,13 @@
 		defer cancel()
 		r.Run(ctx)
 
-		assert.Assert(t, slices.Contains(met, address("n1")))
-		assert.Equal(t, len(slices.Compact(met)), 1)
+		assert.Assert(t, slices.Contains(joined, address("n1")))
+		assert.Equal(t, len(slices.Compact(joined)), 1)
 		assert.Equal(t, len(recorder.Entries(timeline.Filter{})), 6)
 	})
 }
 
-// FuzzDecodeRecord looks for bytes that make a record which nobody can be met by.
+// FuzzDecodeRecord looks for input that decodes to a record with an unusable address.
 func FuzzDecodeRecord(f *testing.F) {
 	f.Add([]byte(`{"Address":"10.0.0.1:7","FailureDomain":"derby"}`))
 	f.Add([]byte(`{"Address":""}`))
@@ -357,10 +356,10 @@
 	})
 }
 
-// A large fleet starts for the first time. With a record of each node, the store is asked
-// four times a node, and as often again at each restart of all: the users pay for calls
-// that only repeat what a few records say. All nodes know each other all the same.
-func TestAFewNodesOfAFailureDomainHaveRecords(t *testing.T) {
+// A large fleet starts for the first time. If each node had a record, a start of the whole
+// fleet would cost four calls per node, and so would each restart. The platform bills these
+// calls, and a few records are enough for all nodes to join each other.
+func TestOnlyAFewNodesOfAFailureDomainHaveRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			domains, each = 6, 50
@@ -370,79 +369,80 @@
 
 		s := newStore()
 		s.delay, s.lag = 4*time.Millisecond, 400*time.Millisecond
-		g := newMeetings(domains, each)
+		g := newFleet(domains, each)
 
 		for id, domain := range g.domains {
-			g.run(t, s, id, domain)
+			g.startNode(t, s, id, domain)
 		}
 
 		time.Sleep(4 * time.Second)
-		assert.Equal(t, g.reached(), len(g.domains))
-		t.Logf("%d records, %.0f calls", s.size(), s.asked())
+		assert.Equal(t, g.countReachable(), len(g.domains))
+		t.Logf("%d records, %.0f calls", s.size(), s.cost())
 		assert.Assert(t, s.size() <= mostRecords, "%d records", s.size())
-		assert.Assert(t, s.asked() <= mostCalls, "%.0f calls", s.asked())
+		assert.Assert(t, s.cost() <= mostCalls, "%.0f calls", s.cost())
 	})
 }
 
-// All nodes that have the records of a failure domain end without a word. Others write
-// theirs before the old ones lapse, so that a node that starts then finds somebody.
-func TestRecordsOfNodesThatAreGoneAreReplaced(t *testing.T) {
+// All nodes that have the records of a failure domain terminate without deleting them. Other
+// nodes write records before the old ones expire, so that new nodes find live ones.
+func TestRecordsOfTerminatedNodesAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		s.delay = 4 * time.Millisecond
-		g := newMeetings(1, 20)
+		g := newFleet(1, 20)
 
 		for id, domain := range g.domains {
-			g.run(t, s, id, domain)
+			g.startNode(t, s, id, domain)
 		}
 
 		time.Sleep(30 * time.Second)
 
-		gone := s.ids()
-		g.end(gone)
+		terminated := s.ids()
+		g.terminate(terminated)
 		time.Sleep(20 * time.Second)
 
-		left := slices.DeleteFunc(s.ids(), func(id string) bool { return slices.Contains(gone, id) })
-		assert.Assert(t, len(left) > 0, "no record of a node that runs")
+		left := slices.DeleteFunc(s.ids(), func(id string) bool { return slices.Contains(terminated, id) })
+		assert.Assert(t, len(left) > 0, "no record of a live node")
 	})
 }
 
-// All hosts of three failure domains start in the same moment, so that each node finds
-// the records of all others when it first looks. Nodes that meet others of their own
-// failure domain alone never hear of the rest: callers there are turned away for hours
-// while backend servers elsewhere have slots to spare.
-func TestAllFailureDomainsGetToKnowEachOther(t *testing.T) {
+// All hosts of three failure domains start at the same moment, so that each node finds the
+// records of all others at its first list. Guards against nodes that join only their own
+// failure domain and never learn of the others: their callers are rejected for hours while
+// backend servers in other failure domains have free slots.
+func TestFailureDomainsThatStartTogetherJoinEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		s.delay = 4 * time.Millisecond
-		g := newMeetings(3, 5)
+		g := newFleet(3, 5)
 
 		for id, domain := range g.domains {
-			g.run(t, s, id, domain)
+			g.startNode(t, s, id, domain)
 		}
 
 		time.Sleep(time.Second)
-		assert.Equal(t, g.reached(), len(g.domains))
+		assert.Equal(t, g.countReachable(), len(g.domains))
 	})
 }
 
-// Those that a node met at its start were cut off from the rest, or ended before they
-// told anybody. It looks again now and then, and the two halves find each other.
-func TestHalvesFindEachOther(t *testing.T) {
+// The nodes that a node joined at its start were partitioned from the rest, or terminated
+// before they exchanged records. Nodes rescan the records from time to time, and the halves
+// join.
+func TestHalvesJoinAfterAPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		s.delay = 4 * time.Millisecond
-		g := newMeetings(2, 5)
-		g.cut = true
+		g := newFleet(2, 5)
+		g.partitioned = true
 
 		for id, domain := range g.domains {
-			g.run(t, s, id, domain)
+			g.startNode(t, s, id, domain)
 		}
 
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, g.reached(), 5)
+		assert.Equal(t, g.countReachable(), 5)
 		g.heal()
 		time.Sleep(30 * time.Second)
-		assert.Equal(t, g.reached(), len(g.domains))
+		assert.Equal(t, g.countReachable(), len(g.domains))
 	})
 }
--- a/internal/discovery/meet.go
+++ b/internal/discovery/meet.go
@@ -13,52 +13,53 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// lookAgain meets nodes that are recorded and not known, at a few nodes at a time. A
-// fleet that was cut in two while it started, or whose first meetings failed, stays in
-// two halves otherwise, since gossip goes to known nodes only: callers of a failure domain
-// with one backend server of a service were turned away in a third of the cases while
-// others had slots to spare. A few are enough, since who is met tells the rest.
-func (r *Rendezvous) lookAgain(ctx context.Context) error {
-	if rand.IntN(max(r.table.CountLive(), 1)) >= lookers {
+// joinMissing joins recorded nodes that are unknown, on a few nodes of the fleet at a time.
+// Gossip reaches only known nodes, so a fleet that is partitioned at its start, or whose
+// first joins fail, would otherwise stay split: in a failure domain with one backend server
+// of a service, a third of the calls were rejected while other failure domains had free
+// slots. A few nodes are enough because gossip spreads what they learn.
+func (r *Rendezvous) joinMissing(ctx context.Context) error {
+	if rand.IntN(max(r.table.CountLive(), 1)) >= rescanNodes {
 		return nil
 	}
 
-	_, err := r.meetOthers(ctx, true)
+	_, err := r.joinOthers(ctx, true)
 
 	return err
 }
 
-// meetEarlier meets nodes that were there before this process, ahead of the calls that
-// make its own record: until it knows them it has neither a version nor whom to send
-// calls to. The list may be old, which costs a tenth; who is met has the newest. Nodes
-// that start for the first time look by turns; who finds too few in an old list looks at a
-// new one, or the first of all would not find each other.
-func (r *Rendezvous) meetEarlier(ctx context.Context) {
-	if r.alone {
-		idle.For(ctx, rand.N(firstSpread))
+// joinEarlier joins nodes that started before this process. It precedes the calls that
+// write the record, because without peers this node has neither a version nor nodes to
+// forward calls to. A stale list costs a tenth of a call and is sufficient, since joined
+// nodes have the newest member records. At the first start of a fleet, nodes list the
+// records at random times, and a node that finds too few in a stale list reads a current
+// one; otherwise the first nodes would miss each other.
+func (r *Rendezvous) joinEarlier(ctx context.Context) {
+	if r.firstStart {
+		idle.For(ctx, rand.N(firstStartSpread))
 	}
 
-	m, err := r.meetOthers(ctx, true)
-	if r.alone && err == nil && m.near < recordsEach {
-		m, err = r.meetOthers(ctx, false)
+	result, err := r.joinOthers(ctx, true)
+	if r.firstStart && err == nil && result.sameDomain < recordsPerDomain {
+		result, err = r.joinOthers(ctx, false)
 	}
 
-	r.met = m.met >= meetAtOnce
-	r.spared = m.met > 0 && m.near >= recordsEach
-	r.note(err)
+	r.joined = result.joined >= joinCount
+	r.skipRecord = result.joined > 0 && result.sameDomain >= recordsPerDomain
+	r.reportStore(err)
 }
 
-// meeting is what came of a look at the records.
-type meeting struct {
-	met  int // nodes that answered
-	near int // records of other nodes of the own failure domain
+// joinResult is the result of one pass over the records.
+type joinResult struct {
+	joined     int // nodes that replied
+	sameDomain int // records of other nodes of this failure domain
 }
 
-// meetOthers meets some of the recorded nodes that are not known: first of the own failure
-// domain, since these are nearest and give the records of all that they know; then one of
-// each failure domain of which nobody is known yet. With the own one alone, nodes that
-// started in the same moment never heard of the others.
-func (r *Rendezvous) meetOthers(ctx context.Context, stale bool) (meeting, error) {
+// joinOthers joins some of the recorded nodes that are unknown. It begins with the same
+// failure domain, whose nodes are nearest and send all member records that they have. It
+// then joins one node of each failure domain without a known node: nodes that start at the
+// same moment and join only their own failure domain never learn of the others.
+func (r *Rendezvous) joinOthers(ctx context.Context, stale bool) (joinResult, error) {
 	var entries []platform.Entry
 
 	err := r.call(ctx, func(ctx context.Context) (err error) {
@@ -67,46 +68,46 @@
 		return err
 	})
 	if err != nil {
-		return meeting{}, err
+		return joinResult{}, err
 	}
 
 	byDomain := r.addresses(entries)
 	own := r.table.Self().FailureDomain
-	out := meeting{near: len(byDomain[own])}
-	out.met = r.meetSome(ctx, byDomain[own], meetAtOnce)
+	out := joinResult{sameDomain: len(byDomain[own])}
+	out.joined = r.joinSome(ctx, byDomain[own], joinCount)
 	delete(byDomain, own)
 
-	if out.met > 0 {
-		for _, m := range r.table.Elsewhere() {
-			delete(byDomain, m.FailureDomain)
+	if out.joined > 0 {
+		for _, member := range r.table.Elsewhere() {
+			delete(byDomain, member.FailureDomain)
 		}
 	}
 
 	for _, addresses := range byDomain {
-		out.met += r.meetSome(ctx, addresses, 1)
+		out.joined += r.joinSome(ctx, addresses, 1)
 	}
 
 	return out, nil
 }
 
-// meetSome meets nodes, a few at a time, until enough of them answered.
-func (r *Rendezvous) meetSome(ctx context.Context, addresses []string, enough int) int {
-	met := 0
+// joinSome joins nodes in batches until enough of them replied.
+func (r *Rendezvous) joinSome(ctx context.Context, addresses []string, enough int) int {
+	joined := 0
 
 	for batch := range slices.Chunk(addresses, enough) {
-		if met += r.meetAll(ctx, batch); met >= enough {
+		if joined += r.joinAll(ctx, batch); joined >= enough {
 			break
 		}
 	}
 
-	return met
+	return joined
 }
 
-// meetAll meets nodes at the same time: one that is gone must not hold up the rest.
-func (r *Rendezvous) meetAll(ctx context.Context, addresses []string) int {
+// joinAll joins nodes concurrently, so that an unreachable node does not delay the others.
+func (r *Rendezvous) joinAll(ctx context.Context, addresses []string) int {
 	var (
-		wg  sync.WaitGroup
-		met atomic.Int64
+		wg     sync.WaitGroup
+		joined atomic.Int64
 	)
 
 	for _, address := range addresses {
@@ -115,19 +116,18 @@
 		}
 
 		wg.Go(func() {
-			if r.meet(ctx, address) {
-				met.Add(1)
+			if r.join(ctx, address) {
+				joined.Add(1)
 			}
 		})
 	}
 
 	wg.Wait()
 
-	return int(met.Load())
+	return int(joined.Load())
 }
 
-// addresses returns the recorded addresses of other nodes by failure domain, in random
-// order.
+// addresses returns the recorded addresses of other nodes by failure domain, in random order.
 func (r *Rendezvous) addresses(entries []platform.Entry) map[string][]string {
 	out := map[string][]string{}
 
--- a/internal/discovery/meetings_test.go
+++ b/internal/discovery/meetings_test.go
@@ -13,29 +13,29 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// meetings are nodes of several failure domains, and who met whom.
-type meetings struct {
-	domains map[string]string // by node
+// fleet is a set of nodes in several failure domains and records which of them joined.
+type fleet struct {
+	domains map[string]string // by node ID
 	tables  map[string]*membership.Table
 
-	mu   sync.Mutex
-	met  map[string][]string
-	cut  bool
-	stop map[string]context.CancelFunc
+	mu          sync.Mutex
+	joined      map[string][]string
+	partitioned bool
+	stop        map[string]context.CancelFunc
 
 	epochs map[string]*epoch.Current
-	told   map[string]*timeline.Recorder
+	events map[string]*timeline.Recorder
 }
 
-func newMeetings(domains, each int) *meetings {
-	g := &meetings{
-		domains: map[string]string{}, tables: map[string]*membership.Table{}, met: map[string][]string{},
-		stop: map[string]context.CancelFunc{}, epochs: map[string]*epoch.Current{}, told: map[string]*timeline.Recorder{},
+func newFleet(domains, each int) *fleet {
+	g := &fleet{
+		domains: map[string]string{}, tables: map[string]*membership.Table{}, joined: map[string][]string{},
+		stop: map[string]context.CancelFunc{}, epochs: map[string]*epoch.Current{}, events: map[string]*timeline.Recorder{},
 	}
 
 	for i := range domains * each {
 		id := "n" + strconv.Itoa(i+1)
-		g.epochs[id], g.told[id] = epoch.New(), timeline.New()
+		g.epochs[id], g.events[id] = epoch.New(), timeline.New()
 		g.domains[id] = "domain-" + strconv.Itoa(i/each)
 		g.tables[id] = membership.NewTable(membership.Record{ID: id, PeerAddress: address(id), FailureDomain: g.domains[id]}, timeline.New())
 	}
@@ -43,11 +43,11 @@
 	return g
 }
 
-func (g *meetings) run(t *testing.T, s *store, id, domain string) {
+func (g *fleet) startNode(t *testing.T, s *store, id, domain string) {
 	t.Helper()
 
-	meet := func(_ context.Context, to string) bool { return g.meet(id, domain, to) }
-	r := discovery.New(s.at(g.epochs[id]), g.tables[id], meet, g.told[id], true).WithEpoch(g.epochs[id])
+	join := func(_ context.Context, to string) bool { return g.join(id, domain, to) }
+	r := discovery.New(s.clientOf(g.epochs[id]), g.tables[id], join, g.events[id], true).WithEpoch(g.epochs[id])
 	ctx, cancel := context.WithCancel(context.Background())
 	g.stop[id] = cancel
 
@@ -60,9 +60,9 @@
 	})
 }
 
-// meet has both nodes know each other.
-func (g *meetings) meet(id, domain, to string) bool {
-	time.Sleep(2 * time.Millisecond) // there and back
+// join makes two nodes exchange their member records.
+func (g *fleet) join(id, domain, to string) bool {
+	time.Sleep(2 * time.Millisecond) // network round trip
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
@@ -71,11 +71,11 @@
 			continue
 		}
 
-		if g.cut && d != domain {
+		if g.partitioned && d != domain {
 			return false
 		}
 
-		g.met[id], g.met[other] = append(g.met[id], other), append(g.met[other], id)
+		g.joined[id], g.joined[other] = append(g.joined[id], other), append(g.joined[other], id)
 		g.tables[id].Merge(g.tables[other].Records())
 		g.tables[other].Merge(g.tables[id].Records())
 	}
@@ -83,32 +83,32 @@
 	return true
 }
 
-// end ends nodes, and has all others know of it.
-func (g *meetings) end(ids []string) {
+// terminate stops nodes and announces it to all others.
+func (g *fleet) terminate(ids []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
 	for _, id := range ids {
 		g.stop[id]()
 
-		gone := g.tables[id].Self().WithState(membership.StateLeft)
-		gone.Seq++
+		left := g.tables[id].Self().WithState(membership.StateLeft)
+		left.Seq++
 
 		for _, other := range g.tables {
-			other.Merge([]membership.Record{gone})
+			other.Merge([]membership.Record{left})
 		}
 	}
 }
 
-func (g *meetings) heal() {
+func (g *fleet) heal() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 
-	g.cut = false
+	g.partitioned = false
 }
 
-// reached is how many nodes are known over any number of others, as gossip carries it.
-func (g *meetings) reached() int {
+// countReachable returns the number of nodes that gossip from n1 reaches.
+func (g *fleet) countReachable() int {
 	const from = "n1"
 
 	g.mu.Lock()
@@ -116,7 +116,7 @@
 
 	seen := map[string]bool{from: true}
 	for next := []string{from}; len(next) > 0; next = next[1:] {
-		for _, other := range g.met[next[0]] {
+		for _, other := range g.joined[next[0]] {
 			if !seen[other] {
 				seen[other] = true
 				next = append(next, other)
--- a/internal/discovery/random_test.go
+++ b/internal/discovery/random_test.go
@@ -14,65 +14,66 @@
 )
 
 var (
-	firstSeed = flag.Uint64("seed", 1, "first seed of the random drills")
-	seeds     = flag.Uint64("seeds", 12, "number of seeds of the random drills")
+	firstSeed = flag.Uint64("seed", 1, "first seed of the random scenarios")
+	seeds     = flag.Uint64("seeds", 12, "number of seeds of the random scenarios")
 )
 
-// In some order of drills, outages and starts a node's record stays away, and it renews another's lease.
-func TestRecordsComeBackInRandomDrills(t *testing.T) {
+// Guards against a record that stays missing, or a node that renews the lease of another
+// one, after some order of store restores, outages and starts.
+func TestRecordsAreRestoredInRandomScenarios(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { drills(t, rand.New(rand.NewPCG(seed, seed))) })
+			synctest.Test(t, func(t *testing.T) { runRandomSteps(t, rand.New(rand.NewPCG(seed, seed))) })
 		})
 	}
 }
 
-// drills plays some steps on a fleet of which some nodes start later than others.
-func drills(t *testing.T, random *rand.Rand) {
+// runRandomSteps runs random steps on a fleet whose nodes start at different times.
+func runRandomSteps(t *testing.T, random *rand.Rand) {
 	t.Helper()
 
 	const (
-		steps = 40
-		soon  = 2500 * time.Millisecond // with the time until all have heard
+		steps       = 40
+		rewriteTime = 2500 * time.Millisecond // including the time until all nodes observe the epoch
 	)
 
 	s := newStore()
 	s.delay = 4 * time.Millisecond
-	g := newMeetings(2, 4) // all of which have to have records
+	g := newFleet(2, 4) // every node needs a record
 
 	waiting := slices.Sorted(maps.Keys(g.domains))
-	older := s.copied()
+	older := s.snapshot()
 
 	for range steps {
 		switch random.IntN(6) {
 		case 0, 1:
 			if len(waiting) > 0 {
-				g.run(t, s, waiting[0], g.domains[waiting[0]])
+				g.startNode(t, s, waiting[0], g.domains[waiting[0]])
 				waiting = waiting[1:]
 			}
 		case 2:
-			older = s.copied()
+			older = s.snapshot()
 		case 3:
-			s.back(older)
-			g.hear(s, 500*time.Millisecond)
+			s.restore(older)
+			g.announceEpoch(s, 500*time.Millisecond)
 		case 4:
-			s.set(func() { s.away = random.IntN(2) == 0 })
+			s.set(func() { s.unavailable = random.IntN(2) == 0 })
 		case 5:
 			time.Sleep(time.Duration(random.IntN(9000)) * time.Millisecond)
 		}
 	}
 
 	for _, id := range waiting {
-		g.run(t, s, id, g.domains[id])
+		g.startNode(t, s, id, g.domains[id])
 	}
 
 	time.Sleep(20 * time.Second)
-	s.back(older)
-	g.hear(s, 500*time.Millisecond)
-	time.Sleep(soon)
+	s.restore(older)
+	g.announceEpoch(s, 500*time.Millisecond)
+	time.Sleep(rewriteTime)
 	assert.Equal(t, s.size(), len(g.domains))
 
-	// Each holds a lease of its own: all records outlast it.
+	// Each record has its own lease, so all records outlast the lease TTL.
 	time.Sleep(2 * time.Minute)
 	assert.Equal(t, s.size(), len(g.domains))
 }
--- a/internal/discovery/record.go
+++ b/internal/discovery/record.go
@@ -8,16 +8,17 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Record is the value of a node's key.
+// Record is the value stored under a node's key.
 type Record struct {
 	Address       string `json:"Address"`
 	FailureDomain string `json:"FailureDomain"`
 }
 
-// ErrRecord is returned for a record that names nobody to meet.
+// ErrRecord is returned for a record without a usable address.
 var ErrRecord = errs.New("rendezvous.record", http.StatusUnprocessableEntity, "record not understood")
 
-// DecodeRecord returns the record of a node. Others may write below the prefix too.
+// DecodeRecord decodes and validates a node's record. Other writers may store values below
+// Prefix.
 func DecodeRecord(data []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
