--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -1,14 +1,14 @@
-// Package bootstrap lets nodes find each other through the platform: for each
-// failure domain one record with the peer addresses of a few of its nodes.
+// Package bootstrap lets nodes find each other through the platform. Each failure domain
+// has one record with the peer addresses of a few of its nodes.
 //
 //	b := bootstrap.New(store, table, "nottm-a")
 //	g := membership.NewGossip(table, peers, membership.Seek(b.Seek))
 //	go b.Run(ctx, g.Meet)
 //
-// What it costs the platform grows with the number of failure domains, never
-// with that of nodes: only a domain's watchers write, by compare-and-swap, and
-// only once most of the recorded addresses are gone; a node that knows others
-// reads nothing.
+// The load on the platform grows with the number of failure domains, not with the number
+// of nodes. Only the watchers of a failure domain write its record, by compare-and-swap and
+// only while fewer than half of the addresses that it should hold are live. A node that
+// knows other nodes and is no watcher does not read records.
 package bootstrap
 
 import (
@@ -24,63 +24,63 @@
 	"github.com/pollencart/pollencart/internal/platform"
 )
 
-// Prefix of the records' keys; the failure domain follows.
+// Prefix of the store keys; the failure domain follows.
 const Prefix = "/pollencart/fleet/"
 
 const (
-	// watchers is how many nodes of a domain keep its record.
+	// watchers is the number of nodes of a failure domain that maintain its record.
 	watchers = 2
-	// kept is how many addresses a record holds: enough that a rack that dies
-	// leaves some, and few enough to be asked one after the other.
-	kept = 8
-	// look is the pause between looks at the own table, which cost the platform
-	// nothing; each sixth reads all records, to meet nodes that came up cut off
-	// from all that this one knows.
-	look      = 10 * time.Second
-	readEvery = 6
-	// spreadOut is over how long the first reads of a herd that starts together
-	// are spread: 4,300 nodes ask for some 1,400 of the platform's 2,000 reads a
-	// second. firstPause and lastPause bound the pause between the next ones.
-	spreadOut  = 3 * time.Second
-	firstPause = 4 * time.Second
-	lastPause  = time.Minute
-	timeout    = 2 * time.Second
+	// maxAddresses is the number of addresses in a record: enough that some survive the
+	// loss of a rack, and few enough to be contacted one after the other.
+	maxAddresses = 8
+	// checkInterval is the interval between checks of the membership table, which cost the
+	// platform nothing. Every sixth check reads all records, to join nodes that started in
+	// a partition.
+	checkInterval   = 10 * time.Second
+	readEveryChecks = 6
+	// startSpread is the interval over which nodes that start together spread their first
+	// reads: 4,300 nodes use about 1,400 of the platform's 2,000 reads per second.
+	// minBackoff and maxBackoff bound the delay between later reads.
+	startSpread = 3 * time.Second
+	minBackoff  = 4 * time.Second
+	maxBackoff  = time.Minute
+	callTimeout = 2 * time.Second
 )
 
-// Record is the value of a failure domain.
+// Record is the value stored for a failure domain.
 type Record struct {
 	FailureDomain string   `json:"FailureDomain"`
 	Addresses     []string `json:"Addresses"`
 }
 
-// Store is what is needed of the platform.
+// Store is the part of the platform's store that this package uses.
 type Store interface {
 	Get(ctx context.Context, key string) (platform.Entry, error)
 	List(ctx context.Context, prefix string) ([]platform.Entry, error)
 	Swap(ctx context.Context, key string, revision int64, value []byte, opts ...platform.PutOption) (int64, error)
 }
 
-// Bootstrap reads the records, and keeps that of one failure domain.
+// Bootstrap reads all records and maintains that of one failure domain.
 type Bootstrap struct {
 	store  Store
 	table  *membership.Table
 	domain string
 
-	mu    sync.Mutex
-	last  []string // the domain's addresses as last read or written
-	pause time.Duration
-	next  time.Time
+	mu            sync.Mutex
+	lastAddresses []string // of the failure domain, as last read or written
+	backoff       time.Duration
+	nextRead      time.Time
 }
 
-// New returns a bootstrap of the node whose table it is.
+// New returns a Bootstrap for the node that owns the table.
 func New(s Store, t *membership.Table, domain string) *Bootstrap {
-	return &Bootstrap{store: s, table: t, domain: domain, next: time.Now().Add(rand.N(spreadOut))}
+	return &Bootstrap{store: s, table: t, domain: domain, nextRead: time.Now().Add(rand.N(startSpread))}
 }
 
-// Seek returns the recorded addresses of all failure domains, or nothing if it is
-// too soon to read them again.
+// Seek returns the recorded addresses of all failure domains, or nil if the backoff has
+// not elapsed or the read fails.
 func (b *Bootstrap) Seek(ctx context.Context) []string {
-	if !b.due() {
+	if !b.readDue() {
 		return nil
 	}
 
@@ -92,25 +92,25 @@
 	return addresses
 }
 
-// due reports whether it is time to read. The pause doubles and its end is
-// random, so that a herd that starts together does not read together.
-func (b *Bootstrap) due() bool {
+// readDue reports whether the backoff has elapsed. The backoff doubles with each read and is
+// randomized, so that nodes that start together do not read at the same time.
+func (b *Bootstrap) readDue() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
 	now := time.Now()
-	if now.Before(b.next) {
+	if now.Before(b.nextRead) {
 		return false
 	}
 
-	b.pause = min(max(2*b.pause, firstPause), lastPause)
-	b.next = now.Add(b.pause/2 + rand.N(b.pause))
+	b.backoff = min(max(2*b.backoff, minBackoff), maxBackoff)
+	b.nextRead = now.Add(b.backoff/2 + rand.N(b.backoff))
 
 	return true
 }
 
 func (b *Bootstrap) read(ctx context.Context) ([]string, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
 	entries, err := b.store.List(ctx, Prefix)
@@ -123,33 +123,33 @@
 	for _, e := range entries {
 		var r Record
 		if json.Unmarshal(e.Value, &r) != nil {
-			continue // a record that can't be read is written anew by its watchers
+			continue // its watchers rewrite an unreadable record
 		}
 
 		out = append(out, r.Addresses...)
 
 		if r.FailureDomain == b.domain {
-			b.remember(r.Addresses)
+			b.setAddresses(r.Addresses)
 		}
 	}
 
 	return out, nil
 }
 
-func (b *Bootstrap) remember(addresses []string) {
+func (b *Bootstrap) setAddresses(addresses []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	b.last = addresses
+	b.lastAddresses = addresses
 }
 
-// Meet gets to know the node at an address, and reports whether it answered.
-type Meet func(ctx context.Context, address string) bool
+// Join exchanges member records with the node at an address and reports whether it replied.
+type Join func(ctx context.Context, address string) bool
 
-// Run keeps the domain's record while this node is one of its watchers, until ctx
-// ends.
-func (b *Bootstrap) Run(ctx context.Context, meet Meet) {
-	pause := rand.N(spreadOut)
+// Run maintains the record while this node is one of the failure domain's watchers, until
+// ctx ends.
+func (b *Bootstrap) Run(ctx context.Context, join Join) {
+	pause := rand.N(startSpread)
 
 	for n := 0; ctx.Err() == nil; n++ {
 		select {
@@ -158,30 +158,30 @@
 		case <-time.After(pause):
 		}
 
-		pause = look/2 + rand.N(look)
+		pause = checkInterval/2 + rand.N(checkInterval)
 
 		if !b.table.Chosen(b.table.Self().ID, b.domain, watchers) {
 			continue
 		}
 
-		if n%readEvery == 0 {
-			b.meetOthers(ctx, meet)
+		if n%readEveryChecks == 0 {
+			b.joinOthers(ctx, join)
 		}
 
-		_ = b.keep(ctx, meet) // the next look tries again
+		_ = b.maintain(ctx, join) // the next check retries
 	}
 }
 
-func (b *Bootstrap) meetOthers(ctx context.Context, meet Meet) {
+func (b *Bootstrap) joinOthers(ctx context.Context, join Join) {
 	addresses, err := b.read(ctx)
 	if err == nil {
-		meetAny(ctx, meet, slices.DeleteFunc(addresses, b.table.LiveAt))
+		joinAny(ctx, join, slices.DeleteFunc(addresses, b.table.LiveAt))
 	}
 }
 
-func meetAny(ctx context.Context, meet Meet, addresses []string) bool {
+func joinAny(ctx context.Context, join Join, addresses []string) bool {
 	for _, i := range rand.Perm(len(addresses)) {
-		if meet(ctx, addresses[i]) {
+		if join(ctx, addresses[i]) {
 			return true
 		}
 	}
@@ -189,29 +189,29 @@
 	return false
 }
 
-// keep writes the record if it has to be.
-func (b *Bootstrap) keep(ctx context.Context, meet Meet) error {
-	if b.good() {
+// maintain rewrites the record if too few of its addresses are live.
+func (b *Bootstrap) maintain(ctx context.Context, join Join) error {
+	if b.sufficient() {
 		return nil
 	}
 
 	entry, err := b.current(ctx)
-	if err != nil || b.good() {
+	if err != nil || b.sufficient() {
 		return err
 	}
 
-	// A process that has just started knows nobody, and must not take the addresses
-	// of a whole domain for gone: it asks there first.
-	if meetAny(ctx, meet, slices.DeleteFunc(b.recorded(), b.table.LiveAt)) {
+	// A process that has just started knows no other nodes and must not consider all
+	// recorded ones failed, so it tries to join them first.
+	if joinAny(ctx, join, slices.DeleteFunc(b.recorded(), b.table.LiveAt)) {
 		return nil
 	}
 
 	return b.write(ctx, entry.Revision)
 }
 
-// current reads the domain's record, which another watcher may have written.
+// current reads the record of this failure domain, which another watcher may have written.
 func (b *Bootstrap) current(ctx context.Context) (platform.Entry, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
 	entry, err := b.store.Get(ctx, Prefix+b.domain)
@@ -221,18 +221,18 @@
 
 	var r Record
 	if json.Unmarshal(entry.Value, &r) == nil {
-		b.remember(r.Addresses)
+		b.setAddresses(r.Addresses)
 	}
 
 	return entry, err
 }
 
 func (b *Bootstrap) write(ctx context.Context, revision int64) error {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
 	next := Record{FailureDomain: b.domain}
-	for _, r := range b.table.FirstOf(b.domain, kept) {
+	for _, r := range b.table.FirstOf(b.domain, maxAddresses) {
 		next.Addresses = append(next.Addresses, r.PeerAddress)
 	}
 
@@ -242,10 +242,10 @@
 	}
 
 	if _, err := b.store.Swap(ctx, Prefix+b.domain, revision, data); err != nil {
-		return err // lost or refused: read again at the next look
+		return err // the next check reads the record again
 	}
 
-	b.remember(next.Addresses)
+	b.setAddresses(next.Addresses)
 
 	return nil
 }
@@ -254,13 +254,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	return slices.Clone(b.last)
+	return slices.Clone(b.lastAddresses)
 }
 
-// good reports whether at least half of what a record should hold is recorded and
-// live.
-func (b *Bootstrap) good() bool {
-	want := len(b.table.FirstOf(b.domain, kept))
+// sufficient reports whether the live recorded addresses are at least half of those that the
+// record should have.
+func (b *Bootstrap) sufficient() bool {
+	want := len(b.table.FirstOf(b.domain, maxAddresses))
 	live := 0
 
 	for _, a := range b.recorded() {
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -33,7 +33,7 @@
 	return t
 }
 
-func nobody(context.Context, string) bool { return false }
+func joinNone(context.Context, string) bool { return false }
 
 func recorded(p *platform.Platform) []string {
 	var r bootstrap.Record
@@ -43,9 +43,9 @@
 	return r.Addresses
 }
 
-// The platform's writes are few and shared by all. Were each node to write itself
-// there, 4,300 of them would take all that it has.
-func TestWritesDoNotGrowWithTheNodes(t *testing.T) {
+// All nodes share the platform's write limit. If each of 4,300 nodes wrote a record of its
+// own, they would exhaust it.
+func TestWritesDoNotGrowWithTheFleet(t *testing.T) {
 	for _, size := range []int{3, 30, 120} {
 		synctest.Test(t, func(t *testing.T) {
 			p := platform.New()
@@ -53,7 +53,7 @@
 
 			for i := range size {
 				b := bootstrap.New(p.Direct("nottm-a"), tableOf(i, size), "nottm-a")
-				go b.Run(ctx, nobody)
+				go b.Run(ctx, joinNone)
 			}
 
 			time.Sleep(10 * time.Minute)
@@ -68,9 +68,9 @@
 	}
 }
 
-// All recorded hosts are replaced. A record that nobody renews would send each
-// new node to addresses where nobody is.
-func TestTheRecordFollowsTheFleet(t *testing.T) {
+// All recorded hosts are replaced. Guards against a stale record that sends new nodes to
+// addresses without a node.
+func TestRecordIsReplacedWhenItsNodesTerminate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform.New()
 		ctx, stop := context.WithCancel(t.Context())
@@ -87,14 +87,14 @@
 			own, end := context.WithCancel(ctx)
 			stops[address] = end
 
-			go bootstrap.New(p.Direct("nottm-a"), tables[address], "nottm-a").Run(own, nobody)
+			go bootstrap.New(p.Direct("nottm-a"), tables[address], "nottm-a").Run(own, joinNone)
 		}
 
 		time.Sleep(time.Minute)
 
-		gone := map[string]bool{}
+		terminated := map[string]bool{}
 		for _, a := range recorded(p) {
-			gone[a] = true
+			terminated[a] = true
 
 			stops[a]()
 			delete(tables, a)
@@ -104,7 +104,7 @@
 
 		for _, table := range tables {
 			for i := range 20 {
-				if r := record(i); gone[r.PeerAddress] {
+				if r := record(i); terminated[r.PeerAddress] {
 					r.Seq++
 					table.Merge([]membership.Record{r.WithState(membership.StateLeft)})
 				}
@@ -118,17 +118,17 @@
 		assert.Equal(t, len(recorded(p)), 8)
 
 		for _, a := range recorded(p) {
-			assert.Assert(t, !gone[a], "%s is gone", a)
+			assert.Assert(t, !terminated[a], "%s has terminated", a)
 		}
 	})
 }
 
-// A third of the fleet comes back at once without anyone that it knows. Reading
-// in step, it would take the platform's reads from everybody else.
-func TestAHerdReadsThePlatformSeldom(t *testing.T) {
+// A third of the fleet restarts at once without known peers. Guards against synchronized
+// reads that exhaust the platform's read limit.
+func TestNodesThatStartTogetherRarelyReadThePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
-			herd    = 200
+			nodes   = 200
 			seconds = 30
 		)
 
@@ -137,7 +137,7 @@
 
 		ctx, stop := context.WithCancel(t.Context())
 
-		for i := range herd {
+		for i := range nodes {
 			b := bootstrap.New(p.Direct("nottm-a"), tableOf(i, 1), "nottm-a")
 
 			go func() {
@@ -151,16 +151,16 @@
 		time.Sleep(seconds * time.Second)
 		stop()
 
-		t.Logf("%d nodes alone for %d s: %d reads", herd, seconds, p.Counts().Reads)
-		assert.Assert(t, p.Counts().Reads <= 6*herd, "%d reads", p.Counts().Reads)
+		t.Logf("%d nodes without peers for %d s: %d reads", nodes, seconds, p.Counts().Reads)
+		assert.Assert(t, p.Counts().Reads <= 6*nodes, "%d reads", p.Counts().Reads)
 		time.Sleep(time.Second)
 	})
 }
 
-// A fresh process knows only itself, and so takes itself for its domain's watcher.
-// If it wrote itself over the record of the fleet, the next fresh processes would
-// find it alone, and two fleets would form.
-func TestAFreshProcessAsksBeforeItOverwrites(t *testing.T) {
+// A new process knows only itself and so considers itself its failure domain's watcher.
+// Guards against overwriting the fleet's record with its own address: the next new
+// processes would find only that node, and two separate fleets would form.
+func TestNewProcessJoinsBeforeItOverwritesTheRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform.New()
 		ctx, stop := context.WithCancel(t.Context())
@@ -168,7 +168,7 @@
 		defer stop()
 
 		for i := range 9 {
-			go bootstrap.New(p.Direct("nottm-a"), tableOf(i, 9), "nottm-a").Run(ctx, nobody)
+			go bootstrap.New(p.Direct("nottm-a"), tableOf(i, 9), "nottm-a").Run(ctx, joinNone)
 		}
 
 		time.Sleep(time.Minute)
@@ -176,10 +176,10 @@
 		before := recorded(p)
 		assert.Equal(t, len(before), 8)
 
-		var asked atomic.Int32
+		var joins atomic.Int32
 
 		go bootstrap.New(p.Direct("nottm-a"), tableOf(20, 0), "nottm-a").Run(ctx, func(context.Context, string) bool {
-			asked.Add(1)
+			joins.Add(1)
 
 			return true
 		})
@@ -189,6 +189,6 @@
 			assert.DeepEqual(t, recorded(p), before)
 		}
 
-		assert.Assert(t, asked.Load() > 0)
+		assert.Assert(t, joins.Load() > 0)
 	})
 }
