--- a/internal/announce/host.go
+++ b/internal/announce/host.go
@@ -1,26 +1,26 @@
-// Package announce follows the backend server on a node's host by its heartbeats:
-// which instance it is, whether it takes calls, and whether it is leaving.
+// Package announce tracks the backend server on a node's host by its heartbeats: which
+// instance runs, whether it accepts calls, and whether it is draining.
 //
-// # What goes wrong without it
+// # Problem
 //
-// A heartbeat may arrive seconds late, also after its sender has crashed and
-// another instance has started at the same address; taken at its word it would
-// bring back a backend server that has left. So a heartbeat counts only if its
-// sequence is higher than the last one of its instance, an instance that is
-// leaving stays so, and one that was never heard of is asked for its name.
+// A heartbeat may arrive seconds late, possibly after its sender has crashed and another
+// instance has started at the same address. If such a heartbeat were accepted, a terminated
+// backend server would receive calls again. A heartbeat therefore counts only if its
+// sequence is higher than the last one of its instance, a draining instance stays draining,
+// and an unknown instance is verified by a health check.
 //
-// A backend server may also start again under the name that it had. It counts its
-// heartbeats from one again and knows nothing of an earlier leaving. Ordered by
-// sequence alone its heartbeats would look old, and it would stay unused for as long
-// as the earlier start had run. So heartbeats are ordered by start, then by sequence,
-// and a leaving belongs to one start.
+// A backend server may also restart under the same instance ID. Its heartbeat sequence
+// starts from one again, and it knows nothing of an earlier departure. Ordered by sequence
+// alone, its heartbeats would look old, and it would stay unused for as long as the earlier
+// instance had run. Heartbeats are therefore ordered by start time, then by sequence, and a
+// departure applies to one start time and those before it.
 //
-// A confirmation that an instance may leave binds all later processes on the host.
-// It is given only after the leaving has been kept where the next process finds it.
+// A confirmed departure must hold for all later processes of the node. It is confirmed only
+// once it is persisted where the next process finds it.
 //
 // # Usage
 //
-//	h := announce.New(announce.Probe(pool.Probe), announce.Keep(departures), announce.Changed(tell))
+//	h := announce.New(announce.Probe(probe), announce.WithKeeper(tombstones), announce.Changed(update))
 //	err := h.Heard(ctx, heartbeat) // nil confirms
 package announce
 
@@ -35,65 +35,65 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// ErrNotKept means that a leaving can't be confirmed yet.
+// ErrNotKept means that a departure can't be confirmed yet.
 var ErrNotKept = errs.New("announce.not_kept", http.StatusServiceUnavailable, "the leaving is not kept yet, ask again")
 
-// ErrForeign is returned for a word that is of no backend server on this host. Confirmed,
-// it would promise something for one that others go on sending calls to.
+// ErrForeign is returned for a message that no backend server on this host can have sent.
+// Other nodes may go on sending calls to its sender, so a departure must not be confirmed.
 var ErrForeign = errs.New("announce.foreign", http.StatusServiceUnavailable, "no backend server on this host said that")
 
-// confirmWithin bounds an answer to a backend server, which waits a second for it.
-const confirmWithin = 800 * time.Millisecond
+// confirmTimeout bounds a reply to a backend server, which waits one second for it.
+const confirmTimeout = 800 * time.Millisecond
 
-// Heartbeat is what a backend server says of itself.
+// Heartbeat is a status report of a backend server.
 type Heartbeat struct {
 	Instance string
-	// Started is when this start of the instance began, in Unix milliseconds, or 0 if
-	// it does not say. Starts of an instance are ordered by it and nothing else is: the
-	// clock is the backend server's.
+	// Started is the start time in Unix milliseconds, or 0 if the backend server does not
+	// report it. It is taken from the backend server's clock and only orders the starts of
+	// one instance ID.
 	Started int64
 	Service string
 	Address string
 	Slots   int
-	// Sequence rises with each heartbeat of a start.
+	// Sequence rises with each heartbeat after a start.
 	Sequence uint64
 	Leaving  bool
-	// Cold is how much longer the instance is slow after its start.
+	// Cold is the remaining time of the slow start.
 	Cold time.Duration
 }
 
-// State is what is known of the backend server.
+// State is the current state of the backend server.
 type State struct {
 	Instance string
-	// Started tells starts of the instance apart; 0 if it did not say.
+	// Started is the start time of the instance, or 0 if it was not reported.
 	Started int64
 	Slots   int
-	// Takes says whether calls may be sent to it.
+	// Takes reports whether calls may be sent to the backend server.
 	Takes bool
-	// Cold says until when it is slow.
+	// Cold is the end of the slow start.
 	Cold time.Time
 }
 
-// Host follows one backend server.
+// Host tracks one backend server.
 type Host struct {
 	options Options
 
-	mu       sync.Mutex
-	state    State
-	newest   map[string]moment
-	leaving  map[string]*departure
-	checking map[string]bool
+	mu         sync.Mutex
+	state      State
+	newest     map[string]position
+	departures map[string]*departure
+	verifying  map[string]bool
 }
 
-// New returns a host that has heard nothing.
+// New returns a Host without a known instance.
 func New(opts ...Option) *Host {
 	return &Host{
-		options: newOptions(opts...), newest: map[string]moment{}, leaving: map[string]*departure{},
-		checking: map[string]bool{},
+		options: newOptions(opts...), newest: map[string]position{}, departures: map[string]*departure{},
+		verifying: map[string]bool{},
 	}
 }
 
-// State returns what is known now.
+// State returns the current state.
 func (h *Host) State() State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,44 +101,44 @@
 	return h.state
 }
 
-// Heard takes a heartbeat. Nil confirms it; for an instance that is leaving this is
-// the promise that it gets no new calls.
+// Heard handles a heartbeat. A nil error confirms it; for a draining instance this
+// guarantees that it gets no new calls.
 func (h *Host) Heard(ctx context.Context, b Heartbeat) error {
 	if h.options.Service != "" && b.Service != h.options.Service {
-		h.Doubt(b.Instance, "it is of service "+b.Service+", the one on this host of "+h.options.Service)
+		h.Doubt(b.Instance, "heartbeat of service "+b.Service+", but the backend server on this host is of service "+h.options.Service)
 
 		return ErrForeign
 	}
 
 	if b.Leaving {
-		h.note(b)
+		h.observe(b)
 
 		return h.Left(ctx, b.Instance, b.Started)
 	}
 
-	if !h.note(b) && !h.idle(b) {
+	if !h.observe(b) && !h.mayHaveRestarted(b) {
 		return nil
 	}
 
-	switch h.standing(b) {
-	case departing:
-	case inUse:
+	switch h.status(b) {
+	case draining:
+	case active:
 		h.refresh(b)
-	case unheard:
-		go h.examine(context.WithoutCancel(ctx), b)
+	case unknown:
+		go h.verify(context.WithoutCancel(ctx), b)
 	}
 
 	return nil
 }
 
-// Doubt tells of a word that was not believed, once for each instance and reason.
+// Doubt records a rejected message, once for each instance and reason.
 func (h *Host) Doubt(instance, reason string) {
 	h.options.Recorder.Once(event.InstanceDoubted, timeline.Entry{Detail: instance + ": " + reason})
 }
 
 func (h *Host) refresh(b Heartbeat) {
-	h.change(func(s State) State {
-		if s.Instance == b.Instance && !h.isLeaving(b) {
+	h.update(func(s State) State {
+		if s.Instance == b.Instance && !h.isDraining(b) {
 			s.Started, s.Slots, s.Takes = b.Started, b.Slots, true
 		}
 
@@ -146,54 +146,54 @@
 	})
 }
 
-// examine finds out whether an instance that was not heard of before runs here
-// now, and whether it was on its way out when an earlier process ended.
-func (h *Host) examine(ctx context.Context, b Heartbeat) {
-	if !h.beginCheck(b.Instance) {
+// verify checks that an unknown instance runs on this host and that no earlier process
+// confirmed its departure, and then activates it.
+func (h *Host) verify(ctx context.Context, b Heartbeat) {
+	if !h.beginVerify(b.Instance) {
 		return
 	}
-	defer h.endCheck(b.Instance)
+	defer h.endVerify(b.Instance)
 
 	found := h.options.Probe(ctx)
 	if found.Instance != b.Instance {
 		h.options.Recorder.Record(event.InstanceDoubted, timeline.Entry{
-			Detail: "heartbeat of " + b.Instance + ", at its address answers " + found.Instance,
+			Detail: "heartbeat of " + b.Instance + ", but its address is served by " + found.Instance,
 		})
 
 		return
 	}
 
-	h.judge(ctx, b, found.Healthy)
+	h.activateUnlessDeparted(ctx, b, found.Healthy)
 }
 
-// Find asks the backend server for its name before it is heard of. A process that
-// starts again beside one that runs would leave it unused until its next heartbeat,
-// half a second in the mean.
+// Find queries the backend server for its instance ID before its first heartbeat. When only
+// the node restarts, a running backend server would otherwise stay unused until its next
+// heartbeat, for half a second on average.
 func (h *Host) Find(ctx context.Context) {
 	found := h.options.Probe(ctx)
 	if !found.Healthy || found.Instance == "" || found.Slots == 0 || h.State().Instance != "" {
-		return // its heartbeat will tell
+		return // its heartbeat decides
 	}
 
-	if !h.beginCheck(found.Instance) {
+	if !h.beginVerify(found.Instance) {
 		return
 	}
-	defer h.endCheck(found.Instance)
+	defer h.endVerify(found.Instance)
 
-	h.judge(ctx, Heartbeat{Instance: found.Instance, Slots: found.Slots}, true)
+	h.activateUnlessDeparted(ctx, Heartbeat{Instance: found.Instance, Slots: found.Slots}, true)
 }
 
-// judge takes an instance into use that answers at its address, unless it was
-// confirmed to leave.
-func (h *Host) judge(ctx context.Context, b Heartbeat, healthy bool) {
+// activateUnlessDeparted activates an instance that responds at its address, unless its
+// departure was confirmed. If that can't be determined, only a healthy instance is activated.
+func (h *Host) activateUnlessDeparted(ctx context.Context, b Heartbeat, healthy bool) {
 	departed, err := h.departed(ctx, b)
 	if departed || (err != nil && !healthy) {
-		h.options.Recorder.Record(event.InstanceDoubted, timeline.Entry{Detail: b.Instance + " is leaving or can't be told from one that is"})
+		h.options.Recorder.Record(event.InstanceDoubted, timeline.Entry{Detail: b.Instance + " has departed, or its departure can't be ruled out"})
 
 		return
 	}
 
-	h.adopt(b)
+	h.activate(b)
 }
 
 func (h *Host) departed(ctx context.Context, b Heartbeat) (bool, error) {
@@ -204,9 +204,9 @@
 	return h.options.Keeper.Departed(ctx, b.Instance, b.Started)
 }
 
-func (h *Host) adopt(b Heartbeat) {
-	h.change(func(s State) State {
-		if h.isLeaving(b) || h.newest[b.Instance].started > b.Started {
+func (h *Host) activate(b Heartbeat) {
+	h.update(func(s State) State {
+		if h.isDraining(b) || h.newest[b.Instance].started > b.Started {
 			return s
 		}
 
@@ -214,30 +214,30 @@
 	})
 }
 
-func (h *Host) beginCheck(instance string) bool {
+func (h *Host) beginVerify(instance string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	if h.checking[instance] {
+	if h.verifying[instance] {
 		return false
 	}
 
-	h.checking[instance] = true
+	h.verifying[instance] = true
 
 	return true
 }
 
-func (h *Host) endCheck(instance string) {
+func (h *Host) endVerify(instance string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	delete(h.checking, instance)
+	delete(h.verifying, instance)
 }
 
-// Down tells that the instance does not answer at its address; its next heartbeat
-// brings it back.
+// Down marks the instance as not accepting calls because it does not respond at its address.
+// Its next heartbeat activates it again.
 func (h *Host) Down(instance string) {
-	h.change(func(s State) State {
+	h.update(func(s State) State {
 		if s.Instance == instance {
 			s.Takes = false
 		}
@@ -246,9 +246,9 @@
 	})
 }
 
-// Replaced tells that another instance answered than the one that was expected.
+// Replaced clears the state after another instance than the expected one responded.
 func (h *Host) Replaced(instance string) {
-	h.change(func(s State) State {
+	h.update(func(s State) State {
 		if s.Instance == instance {
 			return State{}
 		}
@@ -257,7 +257,7 @@
 	})
 }
 
-func (h *Host) change(f func(State) State) {
+func (h *Host) update(f func(State) State) {
 	h.mu.Lock()
 	before := h.state
 	h.state = f(before)
@@ -265,12 +265,12 @@
 	h.mu.Unlock()
 
 	if before != after {
-		h.options.Recorder.Record(event.InstanceState, timeline.Entry{Detail: after.text()})
+		h.options.Recorder.Record(event.InstanceState, timeline.Entry{Detail: after.describe()})
 		h.options.Changed(after)
 	}
 }
 
-func (s State) text() string {
+func (s State) describe() string {
 	if s.Takes {
 		return s.Instance + " takes calls"
 	}
--- a/internal/announce/leaving.go
+++ b/internal/announce/leaving.go
@@ -9,34 +9,33 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// departure is a start of an instance that is leaving. Kept is closed once the next
-// process on this host would find out.
+// departure is an instance that is draining. The channel persisted is closed once the next
+// process on this host would find the departure.
 type departure struct {
-	started int64
-	kept    chan struct{}
+	started   int64
+	persisted chan struct{}
 }
 
-// isLeaving reports whether the start of the heartbeat was confirmed to leave, or one
-// after it. It holds the lock.
-func (h *Host) isLeaving(b Heartbeat) bool {
-	d := h.leaving[b.Instance]
+// isDraining reports whether the instance that sent the heartbeat, or a later one with the
+// same ID, is draining. The caller holds h.mu.
+func (h *Host) isDraining(b Heartbeat) bool {
+	d := h.departures[b.Instance]
 
 	return d != nil && b.Started <= d.started
 }
 
-// Left takes a start of an instance out of use and returns nil once that is kept for
-// later processes on this host. A start of 0 is the one that runs: whoever does not
-// tell its start must not be sent calls after it was confirmed to leave. ErrForeign means
-// that a later start runs.
+// Left stops sending calls to an instance and returns nil once its departure is persisted
+// for later processes on this host. A start time of 0 means the running instance, which must
+// not get calls after the confirmation either. ErrForeign means that a later instance runs.
 func (h *Host) Left(ctx context.Context, instance string, started int64) error {
-	d, first := h.depart(instance, started)
+	d, first := h.beginDeparture(instance, started)
 	if d == nil {
-		h.Doubt(instance, "its start at "+strconv.FormatInt(started, 10)+" leaves, another one runs")
+		h.Doubt(instance, "departure of the instance started at "+strconv.FormatInt(started, 10)+" rejected: a later instance is running")
 
 		return ErrForeign
 	}
 
-	h.change(func(s State) State {
+	h.update(func(s State) State {
 		if s.Instance == instance && s.Started <= d.started {
 			s.Takes = false
 		}
@@ -45,28 +44,28 @@
 	})
 
 	if first {
-		go h.keep(context.WithoutCancel(ctx), instance, d)
+		go h.persist(context.WithoutCancel(ctx), instance, d)
 	}
 
 	select {
-	case <-d.kept:
+	case <-d.persisted:
 		return nil
 	case <-ctx.Done():
 		return ErrNotKept.Wrap(ctx.Err())
-	case <-time.After(confirmWithin):
+	case <-time.After(confirmTimeout):
 		h.options.Recorder.Record(event.LeavingNotKept, timeline.Entry{Detail: instance})
 
 		return ErrNotKept
 	}
 }
 
-// depart returns the departure of a start, and whether it is a new one. It is nil if a
-// later start of the instance was heard of: the earlier one is gone already.
-func (h *Host) depart(instance string, started int64) (*departure, bool) {
+// beginDeparture returns the departure of an instance and whether it is new. It returns nil
+// if a later instance with the same ID is known: the earlier one has ended already.
+func (h *Host) beginDeparture(instance string, started int64) (*departure, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	newest := max(h.newest[instance].started, h.startedNow(instance))
+	newest := max(h.newest[instance].started, h.currentStart(instance))
 
 	if started == 0 {
 		started = newest
@@ -76,18 +75,18 @@
 		return nil, false
 	}
 
-	if d := h.leaving[instance]; d != nil && d.started >= started {
+	if d := h.departures[instance]; d != nil && d.started >= started {
 		return d, false
 	}
 
-	d := &departure{started: started, kept: make(chan struct{})}
-	h.leaving[instance] = d
+	d := &departure{started: started, persisted: make(chan struct{})}
+	h.departures[instance] = d
 
 	return d, true
 }
 
-// startedNow returns the start of the instance that is in use, if it is this one.
-func (h *Host) startedNow(instance string) int64 {
+// currentStart returns the start time of the tracked instance, or 0 if its ID differs.
+func (h *Host) currentStart(instance string) int64 {
 	if h.state.Instance != instance {
 		return 0
 	}
@@ -95,14 +94,14 @@
 	return h.state.Started
 }
 
-// keep tries until the leaving is kept.
-func (h *Host) keep(ctx context.Context, instance string, d *departure) {
+// persist retries until the departure is persisted.
+func (h *Host) persist(ctx context.Context, instance string, d *departure) {
 	const pause = 100 * time.Millisecond
 
 	for {
 		err := h.options.Keeper.Keep(ctx, instance, d.started)
 		if err == nil {
-			close(d.kept)
+			close(d.persisted)
 			h.options.Recorder.Record(event.LeavingKept, timeline.Entry{Detail: instance})
 
 			return
--- a/internal/announce/options.go
+++ b/internal/announce/options.go
@@ -7,30 +7,30 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Keeper keeps who is leaving beyond the life of this process.
+// Keeper persists confirmed departures beyond the end of this process.
 type Keeper interface {
 	Keep(ctx context.Context, instance string, started int64) error
-	// Departed reports whether the start was confirmed to leave, or one after it; a
-	// start of 0 is any.
+	// Departed reports whether the departure of the instance, or of a later one with the
+	// same ID, was confirmed. A start time of 0 matches any instance.
 	Departed(ctx context.Context, instance string, started int64) (bool, error)
 }
 
-// Options of a host.
+// Options configure a Host.
 type Options struct {
 	Keeper   Keeper
 	Recorder *timeline.Recorder
-	// Probe asks the backend server for its instance, and whether it is healthy.
+	// Probe queries the backend server for its instance ID and health.
 	Probe func(ctx context.Context) backend.Health
-	// FirstStart says that no earlier process can have confirmed a leaving.
+	// FirstStart reports that no earlier process can have confirmed a departure.
 	FirstStart bool
-	// Service is that of the backend server on this host; a heartbeat of another one
-	// names nobody to use. Empty believes any.
+	// Service is the service of the backend server on this host. Heartbeats of other services
+	// are rejected; an empty Service accepts any.
 	Service string
-	// Changed is told of each new state.
+	// Changed is called with each new state.
 	Changed func(State)
 }
 
-// Option sets an option.
+// Option configures a Host.
 type Option func(*Options)
 
 func newOptions(opts ...Option) Options {
@@ -46,22 +46,22 @@
 	return o
 }
 
-// WithKeeper sets who keeps leavings.
+// WithKeeper sets the storage for confirmed departures.
 func WithKeeper(k Keeper) Option { return func(o *Options) { o.Keeper = k } }
 
-// Recorder sets where events go.
+// Recorder sets the recorder of events.
 func Recorder(r *timeline.Recorder) Option { return func(o *Options) { o.Recorder = r } }
 
-// Probe sets what asks the backend server for its instance.
+// Probe sets the function that queries the backend server for its instance ID and health.
 func Probe(f func(ctx context.Context) backend.Health) Option {
 	return func(o *Options) { o.Probe = f }
 }
 
-// FirstStart sets whether no earlier process can have confirmed a leaving.
+// FirstStart sets whether no earlier process can have confirmed a departure.
 func FirstStart(first bool) Option { return func(o *Options) { o.FirstStart = first } }
 
 // Service sets the service of the backend server on this host.
 func Service(name string) Option { return func(o *Options) { o.Service = name } }
 
-// Changed sets who is told of new states.
+// Changed sets the function that is called with each new state.
 func Changed(f func(State)) Option { return func(o *Options) { o.Changed = f } }
--- a/internal/announce/order.go
+++ b/internal/announce/order.go
@@ -2,13 +2,13 @@
 
 import "strconv"
 
-// moment orders the heartbeats of an instance.
-type moment struct {
+// position orders the heartbeats of an instance ID.
+type position struct {
 	started  int64
 	sequence uint64
 }
 
-func (m moment) after(o moment) bool {
+func (m position) after(o position) bool {
 	if m.started != o.started {
 		return m.started > o.started
 	}
@@ -16,11 +16,11 @@
 	return m.sequence > o.sequence
 }
 
-// note reports whether the heartbeat is the newest of its instance.
-func (h *Host) note(b Heartbeat) bool {
+// observe records the heartbeat and reports whether it is the newest of its instance ID.
+func (h *Host) observe(b Heartbeat) bool {
 	h.mu.Lock()
 	last, ok := h.newest[b.Instance]
-	next := moment{started: b.Started, sequence: b.Sequence}
+	next := position{started: b.Started, sequence: b.Sequence}
 	newer := !ok || next.after(last)
 
 	if newer {
@@ -29,49 +29,50 @@
 	h.mu.Unlock()
 
 	if b.Started < last.started {
-		h.Doubt(b.Instance, "a heartbeat of its start at "+strconv.FormatInt(b.Started, 10)+
-			", another began at "+strconv.FormatInt(last.started, 10))
+		h.Doubt(b.Instance, "heartbeat of the instance started at "+strconv.FormatInt(b.Started, 10)+
+			", but a later one started at "+strconv.FormatInt(last.started, 10))
 	}
 
 	return newer
 }
 
-// idle reports whether an old heartbeat is of the instance here, which is out of use. It
-// may have started again without telling a start, and would stay out of use until its
-// sequence has caught up; its health answer tells who runs.
-func (h *Host) idle(b Heartbeat) bool {
+// mayHaveRestarted reports whether an old heartbeat is of the tracked instance while that
+// accepts no calls. The backend server may have restarted without reporting a start time; it
+// would then stay unused until its sequence catches up. A health check shows which instance
+// runs.
+func (h *Host) mayHaveRestarted(b Heartbeat) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	return h.state.Instance == b.Instance && h.state.Started == b.Started && !h.state.Takes && !h.isLeaving(b)
+	return h.state.Instance == b.Instance && h.state.Started == b.Started && !h.state.Takes && !h.isDraining(b)
 }
 
-// standing is what is known of the start that sent a heartbeat.
-type standing uint8
+// status classifies the instance that sent a heartbeat.
+type status uint8
 
 const (
-	// unheard starts are asked for their name.
-	unheard standing = iota
-	inUse
-	departing
+	// unknown instances are verified by a health check.
+	unknown status = iota
+	active
+	draining
 )
 
-func (h *Host) standing(b Heartbeat) standing {
+func (h *Host) status(b Heartbeat) status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	old := h.newest[b.Instance].after(moment{started: b.Started, sequence: b.Sequence})
+	old := h.newest[b.Instance].after(position{started: b.Started, sequence: b.Sequence})
 
 	switch {
-	case h.isLeaving(b):
-		return departing
+	case h.isDraining(b):
+		return draining
 	case old:
-		return unheard
+		return unknown
 	case h.state.Instance == b.Instance && (h.state.Started == b.Started || h.state.Started == 0):
-		// One that was found by its health answer did not tell its start. It had not
-		// left, whichever it was.
-		return inUse
+		// An instance that was activated by its health check has no known start time. Its
+		// departure was not confirmed, whichever start it is.
+		return active
 	}
 
-	return unheard
+	return unknown
 }
