--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -78,7 +78,7 @@
 	holder     *route.Holder
 	configsync *configsync.Feed
 	discovery  *discovery.Rendezvous
-	tombstone  *tombstone.Departures
+	tombstone  *tombstone.Registry
 
 	host  *announce.Host
 	queue *slots.Queue
--- a/internal/tombstone/again.go
+++ b/internal/tombstone/again.go
@@ -22,7 +22,7 @@
 )
 
 // WithEpoch sets the epoch of the store and the recorder that logs rewrites.
-func (d *Departures) WithEpoch(e *epoch.Current, r *timeline.Recorder) *Departures {
+func (d *Registry) WithEpoch(e *epoch.Current, r *timeline.Recorder) *Registry {
 	d.epoch, d.recorder = e, r
 	d.epochChanged = e.Changed()
 
@@ -31,7 +31,7 @@
 
 // Run rewrites the records of this process after each epoch change, because the store may
 // have lost them. It returns when ctx ends.
-func (d *Departures) Run(ctx context.Context) {
+func (d *Registry) Run(ctx context.Context) {
 	epochChanged := d.epochChanged
 
 	for {
@@ -48,7 +48,7 @@
 	}
 }
 
-func (d *Departures) rewriteAll(ctx context.Context, changed <-chan struct{}) {
+func (d *Registry) rewriteAll(ctx context.Context, changed <-chan struct{}) {
 	written := 0
 
 	for _, i := range d.owned() {
@@ -64,7 +64,7 @@
 
 // writeWithRetry retries until the store has the record, the epoch changes or the record
 // expires.
-func (d *Departures) writeWithRetry(ctx context.Context, i Instance, changed <-chan struct{}) bool {
+func (d *Registry) writeWithRetry(ctx context.Context, i Instance, changed <-chan struct{}) bool {
 	for pause := minBackoff; ctx.Err() == nil && !idle.Closed(changed) && d.timeToLive(i) > 0; pause = min(2*pause, maxBackoff) {
 		if d.write(ctx, i) == nil {
 			d.scheduleRemoval(i)
@@ -79,7 +79,7 @@
 }
 
 // owned returns the instances whose records this process rewrites.
-func (d *Departures) owned() []Instance {
+func (d *Registry) owned() []Instance {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -95,7 +95,7 @@
 }
 
 // timeToLive returns the time until the record expires.
-func (d *Departures) timeToLive(i Instance) time.Duration {
+func (d *Registry) timeToLive(i Instance) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -103,7 +103,7 @@
 }
 
 // scheduleRemoval deletes the record from the store once it expires.
-func (d *Departures) scheduleRemoval(i Instance) {
+func (d *Registry) scheduleRemoval(i Instance) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -120,7 +120,7 @@
 
 // beginRemoval clears the scheduled removal and reports whether the record is still the
 // newest of its instance ID.
-func (d *Departures) beginRemoval(i Instance) bool {
+func (d *Registry) beginRemoval(i Instance) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
--- a/internal/tombstone/drill_test.go
+++ b/internal/tombstone/drill_test.go
@@ -42,7 +42,7 @@
 
 // process is one process of a node, which runs until it is stopped.
 type process struct {
-	*tombstone.Departures
+	*tombstone.Registry
 
 	epoch  *epoch.Current
 	events *timeline.Recorder
@@ -50,12 +50,12 @@
 }
 
 // startProcess starts a process of node a among the given nodes.
-func startProcess(t *testing.T, s *store, nodes map[string]*tombstone.Departures) process {
+func startProcess(t *testing.T, s *store, nodes map[string]*tombstone.Registry) process {
 	t.Helper()
 
 	f := fleet{nodes, "a"}
 	p := process{epoch: epoch.New(), events: timeline.New()}
-	p.Departures = tombstone.New(s, f, f).WithEpoch(p.epoch, p.events)
+	p.Registry = tombstone.New(s, f, f).WithEpoch(p.epoch, p.events)
 	p.epoch.Observe(1)
 
 	ctx, cancel := context.WithCancel(context.Background())
@@ -77,9 +77,9 @@
 }
 
 // noNodes returns a fleet without other nodes.
-func noNodes() map[string]*tombstone.Departures { return map[string]*tombstone.Departures{} }
+func noNodes() map[string]*tombstone.Registry { return map[string]*tombstone.Registry{} }
 
-func departed(t *testing.T, d *tombstone.Departures) bool {
+func departed(t *testing.T, d *tombstone.Registry) bool {
 	t.Helper()
 
 	gone, err := d.Departed(t.Context(), "i-1", 100)
@@ -102,7 +102,7 @@
 		time.Sleep(2 * time.Second)
 		p.stop()
 
-		assert.Assert(t, departed(t, startProcess(t, s, noNodes()).Departures))
+		assert.Assert(t, departed(t, startProcess(t, s, noNodes()).Registry))
 		assert.Equal(t, len(p.events.Entries(timeline.Filter{Event: event.PlatformRewritten.Name})), 1)
 	})
 }
@@ -144,7 +144,7 @@
 		assert.NilError(t, d.Keep(t.Context(), "i-1", 100))
 		cancel()
 		synctest.Wait()
-		assert.Assert(t, departed(t, startProcess(t, s, noNodes()).Departures))
+		assert.Assert(t, departed(t, startProcess(t, s, noNodes()).Registry))
 	})
 }
 
@@ -168,7 +168,7 @@
 		time.Sleep(2 * time.Second)
 		p.stop()
 
-		assert.Assert(t, departed(t, startProcess(t, s, noNodes()).Departures))
+		assert.Assert(t, departed(t, startProcess(t, s, noNodes()).Registry))
 	})
 }
 
@@ -185,7 +185,7 @@
 			p.stop()
 			s.restore(older)
 
-			assert.Assert(t, departed(t, startProcess(t, s, nodes).Departures))
+			assert.Assert(t, departed(t, startProcess(t, s, nodes).Registry))
 		}
 	})
 }
@@ -208,19 +208,19 @@
 			}
 
 			second := startProcess(t, s, nodes)
-			assert.Assert(t, departed(t, second.Departures))
+			assert.Assert(t, departed(t, second.Registry))
 
 			time.Sleep(time.Second) // all queries have ended
 			synctest.Wait()
 			clear(nodes)
 			s.restore(older)
 			second.epoch.Observe(2)
-			assert.Assert(t, departed(t, second.Departures), "%d nodes", others)
+			assert.Assert(t, departed(t, second.Registry), "%d nodes", others)
 			time.Sleep(2 * time.Second)
 			second.stop()
 
 			third := startProcess(t, s, nodes)
-			assert.Assert(t, departed(t, third.Departures), "%d nodes", others)
+			assert.Assert(t, departed(t, third.Registry), "%d nodes", others)
 
 			later, err := third.Departed(t.Context(), "i-1", 101)
 			assert.NilError(t, err)
--- a/internal/tombstone/held.go
+++ b/internal/tombstone/held.go
@@ -14,18 +14,18 @@
 }
 
 // ServeKeep stores a record for another node.
-func (d *Departures) ServeKeep(_ context.Context, in Instance) (Reply, error) {
+func (d *Registry) ServeKeep(_ context.Context, in Instance) (Reply, error) {
 	d.add(in, false)
 
 	return Reply{Departed: true}, nil
 }
 
 // ServeAsk reports to another node whether this node holds a record.
-func (d *Departures) ServeAsk(_ context.Context, in Instance) (Reply, error) {
+func (d *Registry) ServeAsk(_ context.Context, in Instance) (Reply, error) {
 	return d.lookup(in), nil
 }
 
-func (d *Departures) add(i Instance, owned bool) {
+func (d *Registry) add(i Instance, owned bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -41,7 +41,7 @@
 	d.records[i.ID] = after
 }
 
-func (d *Departures) evictExpired(now time.Time) {
+func (d *Registry) evictExpired(now time.Time) {
 	for id, r := range d.records {
 		if now.Sub(r.storedAt) > recordTTL {
 			delete(d.records, id)
@@ -49,7 +49,7 @@
 	}
 }
 
-func (d *Departures) lookup(i Instance) Reply {
+func (d *Registry) lookup(i Instance) Reply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
--- a/internal/tombstone/random_test.go
+++ b/internal/tombstone/random_test.go
@@ -41,7 +41,7 @@
 	unavailable bool
 	disruptedAt time.Time // when the store last was unavailable or was restored
 
-	others            map[string]*tombstone.Departures
+	others            map[string]*tombstone.Registry
 	othersRestartedAt time.Time // when all other nodes last restarted
 	process           process
 	confirmed         map[string]confirmation
@@ -130,11 +130,11 @@
 			d.assertDeparted(t, tombstone.New(d.store, fleet{d.others, "a"}, fleet{d.others, "a"}), id, step)
 		}
 
-		d.assertDeparted(t, d.process.Departures, id, step)
+		d.assertDeparted(t, d.process.Registry, id, step)
 	}
 }
 
-func (d *scenario) assertDeparted(t *testing.T, process *tombstone.Departures, id string, step int) {
+func (d *scenario) assertDeparted(t *testing.T, process *tombstone.Registry, id string, step int) {
 	t.Helper()
 
 	gone, err := process.Departed(t.Context(), id, 100)
--- a/internal/tombstone/tombstone.go
+++ b/internal/tombstone/tombstone.go
@@ -125,8 +125,8 @@
 	Started int64 `msgpack:"Started"`
 }
 
-// Departures stores and looks up records of confirmed departures.
-type Departures struct {
+// Registry stores and looks up records of confirmed departures.
+type Registry struct {
 	store   Store
 	peers   Peers
 	members Members
@@ -139,13 +139,13 @@
 	records map[string]record
 }
 
-// New returns a Departures without records.
-func New(s Store, p Peers, m Members) *Departures {
-	return &Departures{store: s, peers: p, members: m, records: map[string]record{}, epoch: epoch.New(), recorder: timeline.New()}
+// New returns a Registry without records.
+func New(s Store, p Peers, m Members) *Registry {
+	return &Registry{store: s, peers: p, members: m, records: map[string]record{}, epoch: epoch.New(), recorder: timeline.New()}
 }
 
 // Keep stores the record and returns nil once a later process can find it.
-func (d *Departures) Keep(ctx context.Context, id string, started int64) error {
+func (d *Registry) Keep(ctx context.Context, id string, started int64) error {
 	instance := Instance{ID: id, Started: started}
 	d.add(instance, true)
 
@@ -170,7 +170,7 @@
 }
 
 // replicas returns the addresses of the nodes that hold copies of an instance's record.
-func (d *Departures) replicas(instance string) []string {
+func (d *Registry) replicas(instance string) []string {
 	var out []string
 
 	for _, r := range append(d.members.Ranked(instance, replicas), d.members.RankedIn(instance, nearReplicas)...) {
@@ -184,7 +184,7 @@
 
 // queryAll queries nodes concurrently and returns the first replies, up to enough of
 // them, so that an unreachable node does not delay the result.
-func (d *Departures) queryAll(ctx context.Context, addresses []string, method string, instance Instance, enough int) []Reply {
+func (d *Registry) queryAll(ctx context.Context, addresses []string, method string, instance Instance, enough int) []Reply {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 
@@ -216,7 +216,7 @@
 	return out
 }
 
-func (d *Departures) write(ctx context.Context, instance Instance) error {
+func (d *Registry) write(ctx context.Context, instance Instance) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 
@@ -231,7 +231,7 @@
 // remove deletes an expired record from the store, unless a later instance has replaced
 // it. A record left behind by a process that ended first is harmless: it does not cover
 // later instances.
-func (d *Departures) remove(instance Instance) {
+func (d *Registry) remove(instance Instance) {
 	if !d.beginRemoval(instance) {
 		return
 	}
@@ -245,7 +245,7 @@
 // Departed reports whether the departure of the instance, or of a later one with the same
 // ID, was confirmed. A start time of 0 matches any instance. An error means that the store
 // is unavailable and that no contacted node has the record.
-func (d *Departures) Departed(ctx context.Context, id string, started int64) (bool, error) {
+func (d *Registry) Departed(ctx context.Context, id string, started int64) (bool, error) {
 	instance := Instance{ID: id, Started: started}
 	if d.lookup(instance).Departed {
 		return true, nil
@@ -285,7 +285,7 @@
 
 // awaitReplicas returns the nodes that may hold a record. A process that has just
 // started waits up to memberWait to learn of them.
-func (d *Departures) awaitReplicas(ctx context.Context, id string) []string {
+func (d *Registry) awaitReplicas(ctx context.Context, id string) []string {
 	out := d.replicas(id)
 
 	for began := time.Now(); len(out) == 0 && ctx.Err() == nil && time.Since(began) < memberWait; out = d.replicas(id) {
@@ -298,7 +298,7 @@
 // adopt takes over the record of an earlier process on this host, so that this process
 // rewrites it after an epoch change. A record without a start time covers every instance
 // and is not adopted.
-func (d *Departures) adopt(i Instance) {
+func (d *Registry) adopt(i Instance) {
 	if i.Started != 0 {
 		d.add(i, true)
 	}
@@ -307,7 +307,7 @@
 // read returns the stored record of an instance ID. An unreadable value still shows that a
 // departure was confirmed, so it covers every instance: reusing a departed backend server
 // cuts calls off, while leaving one unused only costs its slots until the record expires.
-func (d *Departures) read(ctx context.Context, id string) (Instance, error) {
+func (d *Registry) read(ctx context.Context, id string) (Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 
--- a/internal/tombstone/tombstone_test.go
+++ b/internal/tombstone/tombstone_test.go
@@ -66,7 +66,7 @@
 
 // fleet delivers messages between nodes and ranks the other nodes.
 type fleet struct {
-	nodes map[string]*tombstone.Departures
+	nodes map[string]*tombstone.Registry
 	self  string
 }
 
@@ -105,8 +105,8 @@
 
 func (f fleet) RankedIn(string, int) []membership.Record { return nil }
 
-func newFleet(s *store, count int) map[string]*tombstone.Departures {
-	nodes := map[string]*tombstone.Departures{}
+func newFleet(s *store, count int) map[string]*tombstone.Registry {
+	nodes := map[string]*tombstone.Registry{}
 	for i := range count {
 		address := string(rune('a' + i))
 		f := fleet{nodes, address}
