--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -78,8 +78,8 @@
 // Join exchanges member records with the node at an address and reports whether it replied.
 type Join func(ctx context.Context, address string) bool
 
-// Rendezvous maintains the record of this node and joins the nodes of other records.
-type Rendezvous struct {
+// Agent maintains the record of this node and joins the nodes of other records.
+type Agent struct {
 	store        Store
 	table        *membership.Table
 	join         Join
@@ -100,21 +100,21 @@
 	firstStart bool
 }
 
-// New returns a Rendezvous for the node that owns the table.
-func New(s Store, t *membership.Table, j Join, r *timeline.Recorder, first bool) *Rendezvous {
-	return (&Rendezvous{store: s, table: t, join: j, recorder: r, firstStart: first}).WithEpoch(epoch.New())
+// New returns an Agent for the node that owns the table.
+func New(s Store, t *membership.Table, j Join, r *timeline.Recorder, first bool) *Agent {
+	return (&Agent{store: s, table: t, join: j, recorder: r, firstStart: first}).WithEpoch(epoch.New())
 }
 
 // WithEpoch sets the epoch of the store. A lease is valid only in its own epoch: in the
 // next one, its number may belong to another node.
-func (r *Rendezvous) WithEpoch(e *epoch.Current) *Rendezvous {
+func (r *Agent) WithEpoch(e *epoch.Current) *Agent {
 	r.epoch, r.epochChanged = e, e.Changed()
 
 	return r
 }
 
 // Run maintains the record and joins other nodes until ctx ends.
-func (r *Rendezvous) Run(ctx context.Context) {
+func (r *Agent) Run(ctx context.Context) {
 	backoff := minBackoff
 
 	r.joinEarlier(ctx)
@@ -139,7 +139,7 @@
 
 // beginEpoch drops the lease at an epoch change. It no longer belongs to this node, even if
 // the store accepts its number.
-func (r *Rendezvous) beginEpoch(ctx context.Context) {
+func (r *Agent) beginEpoch(ctx context.Context) {
 	r.epochChanged = r.epoch.Changed()
 	r.rewrite = r.rewrite || r.lease != 0
 	r.lease = 0
@@ -147,7 +147,7 @@
 	idle.Unless(ctx, rand.N(rewriteSpread), r.epochChanged)
 }
 
-func (r *Rendezvous) reportStore(err error) {
+func (r *Agent) reportStore(err error) {
 	switch {
 	case err != nil && !r.storeLost:
 		r.storeLost = true
@@ -160,7 +160,7 @@
 
 // step renews the record, or writes it if it is missing and this node needs one. It then
 // joins other nodes if the record was new or some are unknown.
-func (r *Rendezvous) step(ctx context.Context) error {
+func (r *Agent) step(ctx context.Context) error {
 	if r.skipRecord || !r.needsRecord() {
 		r.skipRecord, r.rewrite = false, false
 		r.lease = 0 // an existing record expires with its lease
@@ -204,20 +204,20 @@
 // needsRecord reports whether this node is one of those of its failure domain that have a
 // record. While membership views differ, too many or too few nodes have one. Too many cost
 // calls; with too few, nodes that start join nodes of other failure domains.
-func (r *Rendezvous) needsRecord() bool {
+func (r *Agent) needsRecord() bool {
 	self := r.table.Self()
 
 	return r.table.Chosen(self.ID, self.FailureDomain, recordsPerDomain)
 }
 
-func (r *Rendezvous) call(ctx context.Context, f func(context.Context) error) error {
+func (r *Agent) call(ctx context.Context, f func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
 	return f(ctx)
 }
 
-func (r *Rendezvous) write(ctx context.Context) error {
+func (r *Agent) write(ctx context.Context) error {
 	r.lease = 0
 
 	var lease platform.Lease
@@ -250,7 +250,7 @@
 }
 
 // Leave deletes the record, if there is one.
-func (r *Rendezvous) Leave(ctx context.Context) {
+func (r *Agent) Leave(ctx context.Context) {
 	if !r.registered.Load() {
 		return
 	}
--- a/internal/discovery/meet.go
+++ b/internal/discovery/meet.go
@@ -18,7 +18,7 @@
 // first joins fail, would otherwise stay split: in a failure domain with one backend server
 // of a service, a third of the calls were rejected while other failure domains had free
 // slots. A few nodes are enough because gossip spreads what they learn.
-func (r *Rendezvous) joinMissing(ctx context.Context) error {
+func (r *Agent) joinMissing(ctx context.Context) error {
 	if rand.IntN(max(r.table.CountLive(), 1)) >= rescanNodes {
 		return nil
 	}
@@ -34,7 +34,7 @@
 // nodes have the newest member records. At the first start of a fleet, nodes list the
 // records at random times, and a node that finds too few in a stale list reads a current
 // one; otherwise the first nodes would miss each other.
-func (r *Rendezvous) joinEarlier(ctx context.Context) {
+func (r *Agent) joinEarlier(ctx context.Context) {
 	if r.firstStart {
 		idle.For(ctx, rand.N(firstStartSpread))
 	}
@@ -59,7 +59,7 @@
 // failure domain, whose nodes are nearest and send all member records that they have. It
 // then joins one node of each failure domain without a known node: nodes that start at the
 // same moment and join only their own failure domain never learn of the others.
-func (r *Rendezvous) joinOthers(ctx context.Context, stale bool) (joinResult, error) {
+func (r *Agent) joinOthers(ctx context.Context, stale bool) (joinResult, error) {
 	var entries []platform.Entry
 
 	err := r.call(ctx, func(ctx context.Context) (err error) {
@@ -91,7 +91,7 @@
 }
 
 // joinSome joins nodes in batches until enough of them replied.
-func (r *Rendezvous) joinSome(ctx context.Context, addresses []string, enough int) int {
+func (r *Agent) joinSome(ctx context.Context, addresses []string, enough int) int {
 	joined := 0
 
 	for batch := range slices.Chunk(addresses, enough) {
@@ -104,7 +104,7 @@
 }
 
 // joinAll joins nodes concurrently, so that an unreachable node does not delay the others.
-func (r *Rendezvous) joinAll(ctx context.Context, addresses []string) int {
+func (r *Agent) joinAll(ctx context.Context, addresses []string) int {
 	var (
 		wg     sync.WaitGroup
 		joined atomic.Int64
@@ -128,7 +128,7 @@
 }
 
 // addresses returns the recorded addresses of other nodes by failure domain, in random order.
-func (r *Rendezvous) addresses(entries []platform.Entry) map[string][]string {
+func (r *Agent) addresses(entries []platform.Entry) map[string][]string {
 	out := map[string][]string{}
 
 	self := r.table.Self()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -77,7 +77,7 @@
 	store      *platform.Store
 	holder     *route.Holder
 	configsync *configsync.Feed
-	discovery  *discovery.Rendezvous
+	discovery  *discovery.Agent
 	tombstone  *tombstone.Registry
 
 	host  *announce.Host
