--- a/internal/announce/host.go
+++ b/internal/announce/host.go
@@ -21,7 +21,7 @@
 // # Usage
 //
 //	h := announce.New(announce.Probe(probe), announce.WithKeeper(tombstones), announce.Changed(update))
-//	err := h.Heard(ctx, heartbeat) // nil confirms
+//	err := h.HandleHeartbeat(ctx, heartbeat) // nil confirms
 package announce
 
 import (
@@ -101,9 +101,9 @@
 	return h.state
 }
 
-// Heard handles a heartbeat. A nil error confirms it; for a draining instance this
+// HandleHeartbeat handles a heartbeat. A nil error confirms it; for a draining instance this
 // guarantees that it gets no new calls.
-func (h *Host) Heard(ctx context.Context, b Heartbeat) error {
+func (h *Host) HandleHeartbeat(ctx context.Context, b Heartbeat) error {
 	if h.options.Service != "" && b.Service != h.options.Service {
 		h.Doubt(b.Instance, "heartbeat of service "+b.Service+", but the backend server on this host is of service "+h.options.Service)
 
--- a/internal/announce/host_test.go
+++ b/internal/announce/host_test.go
@@ -87,7 +87,7 @@
 
 func handle(t *testing.T, h *announce.Host, b announce.Heartbeat) {
 	t.Helper()
-	assert.NilError(t, h.Heard(context.Background(), b))
+	assert.NilError(t, h.HandleHeartbeat(context.Background(), b))
 	synctest.Wait()
 }
 
@@ -164,13 +164,13 @@
 		w.keeper.setUnavailable(true)
 
 		start := time.Now()
-		err := h.Heard(context.Background(), drainingHeartbeat(2))
+		err := h.HandleHeartbeat(context.Background(), drainingHeartbeat(2))
 		assert.ErrorIs(t, err, announce.ErrNotKept)
 		assert.Assert(t, time.Since(start) < time.Second)
 		assert.Assert(t, !h.State().Takes)
 
 		w.keeper.setUnavailable(false)
-		assert.NilError(t, h.Heard(context.Background(), drainingHeartbeat(3)))
+		assert.NilError(t, h.HandleHeartbeat(context.Background(), drainingHeartbeat(3)))
 	})
 }
 
@@ -288,7 +288,7 @@
 
 		draining := heartbeatAt(100, 91)
 		draining.Leaving = true
-		assert.ErrorIs(t, h.Heard(context.Background(), draining), announce.ErrForeign)
+		assert.ErrorIs(t, h.HandleHeartbeat(context.Background(), draining), announce.ErrForeign)
 		assert.ErrorIs(t, h.Left(context.Background(), "i-1", 100), announce.ErrForeign)
 		assert.Assert(t, h.State().Takes)
 		assert.Equal(t, len(w.keeper.records), 0) // no record is made for an instance that has ended
@@ -330,7 +330,7 @@
 			announce.Probe(func(context.Context) backend.Health { return backend.Health{Instance: "i-1", Healthy: true} }))
 
 		for sequence := range uint64(5) {
-			assert.ErrorIs(t, h.Heard(context.Background(), heartbeat("i-1", sequence)), announce.ErrForeign)
+			assert.ErrorIs(t, h.HandleHeartbeat(context.Background(), heartbeat("i-1", sequence)), announce.ErrForeign)
 		}
 
 		assert.Assert(t, !h.State().Takes)
