--- a/internal/announce/host.go
+++ b/internal/announce/host.go
@@ -113,7 +113,7 @@
 	if b.Leaving {
 		h.observe(b)
 
-		return h.Left(ctx, b.Instance, b.Started)
+		return h.Deregister(ctx, b.Instance, b.Started)
 	}
 
 	if !h.observe(b) && !h.mayHaveRestarted(b) {
--- a/internal/announce/host_test.go
+++ b/internal/announce/host_test.go
@@ -222,7 +222,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newEnvironment().startProcess()
 		handle(t, h, heartbeat("i-1", 1))
-		assert.NilError(t, h.Left(context.Background(), "i-1", 0))
+		assert.NilError(t, h.Deregister(context.Background(), "i-1", 0))
 		assert.Assert(t, !h.State().Takes)
 		handle(t, h, heartbeat("i-1", 2))
 		assert.Assert(t, !h.State().Takes)
@@ -289,7 +289,7 @@
 		draining := heartbeatAt(100, 91)
 		draining.Leaving = true
 		assert.ErrorIs(t, h.HandleHeartbeat(context.Background(), draining), announce.ErrForeign)
-		assert.ErrorIs(t, h.Left(context.Background(), "i-1", 100), announce.ErrForeign)
+		assert.ErrorIs(t, h.Deregister(context.Background(), "i-1", 100), announce.ErrForeign)
 		assert.Assert(t, h.State().Takes)
 		assert.Equal(t, len(w.keeper.records), 0) // no record is made for an instance that has ended
 	})
@@ -301,7 +301,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newEnvironment().startProcess()
 		handle(t, h, heartbeatAt(200, 5))
-		assert.NilError(t, h.Left(context.Background(), "i-1", 0))
+		assert.NilError(t, h.Deregister(context.Background(), "i-1", 0))
 		assert.Assert(t, !h.State().Takes)
 		handle(t, h, heartbeatAt(200, 6))
 		assert.Assert(t, !h.State().Takes)
--- a/internal/announce/leaving.go
+++ b/internal/announce/leaving.go
@@ -24,10 +24,10 @@
 	return d != nil && b.Started <= d.started
 }
 
-// Left stops sending calls to an instance and returns nil once its departure is persisted
+// Deregister stops sending calls to an instance and returns nil once its departure is persisted
 // for later processes on this host. A start time of 0 means the running instance, which must
 // not get calls after the confirmation either. ErrForeign means that a later instance runs.
-func (h *Host) Left(ctx context.Context, instance string, started int64) error {
+func (h *Host) Deregister(ctx context.Context, instance string, started int64) error {
 	d, first := h.beginDeparture(instance, started)
 	if d == nil {
 		h.Doubt(instance, "departure of the instance started at "+strconv.FormatInt(started, 10)+" rejected: a later instance is running")
