--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -77,8 +77,8 @@
 	store      *platform.Store
 	holder     *route.Holder
 	configsync *configsync.Feed
-	discovery  *discovery.Rendezvous
-	tombstone  *tombstone.Departures
+	discovery  *discovery.Agent
+	tombstone  *tombstone.Registry
 
 	host  *announce.Host
 	queue *slots.Queue
