--- a/internal/configsync/check.go
+++ b/internal/configsync/check.go
@@ -10,74 +10,75 @@
 	"github.com/pollencart/pollencart/internal/platform"
 )
 
-// checkShare is the mean pause between looks of all watchers at the store's revision.
-// Each takes its turn after as many of these as there are watchers, so that a missed
-// change is found after 0.4 s in the mean, of the 2 s in which a version has to be in
-// force, and more watchers look no more often in all.
-const checkShare = 800 * time.Millisecond
+// checkInterval is the mean time between two revision checks by all watchers together.
+// Each watcher multiplies it by the number of watchers, so that the load on the store does
+// not grow with their number. A missed change is found after 0.4 s on average, well within
+// the 2 s in which a version has to become active.
+const checkInterval = 800 * time.Millisecond
 
-// check looks for changes that the watch has missed.
-func (f *Feed) check(ctx context.Context) {
-	var last int64 // in the epoch until changed
+// pollRevision compares the store's revision with the one seen last, to find changes that
+// the watch has missed.
+func (s *Feed) pollRevision(ctx context.Context) {
+	var lastRevision int64 // valid until lastChanged is closed
 
-	changed := f.options.Epoch.Changed()
+	lastChanged := s.options.Epoch.Changed()
 
 	for ctx.Err() == nil {
-		every := checkShare * time.Duration(max(len(f.watchersOfAll()), 1))
-		idle.For(ctx, every/2+rand.N(every))
+		interval := checkInterval * time.Duration(max(len(s.allWatchers()), 1))
+		idle.For(ctx, interval/2+rand.N(interval))
 
-		if !f.current.Load() || !f.needsStore() {
+		if !s.storeReachable.Load() || !s.needsStore() {
 			continue
 		}
 
-		heard := f.options.Epoch.Changed()
+		nextChanged := s.options.Epoch.Changed()
 
-		at, err := f.revision(ctx)
+		at, err := s.revision(ctx)
 		if err != nil {
-			// The watch may wait on a connection that has gone silent.
-			f.lost(err)
-			signal(f.hurry)
+			// The connection of the watch may be dead without an error.
+			s.reportUnreachable(err)
+			signal(s.restartWatch)
 
 			continue
 		}
 
-		if at == last && !idle.Closed(changed) {
+		if at == lastRevision && !idle.Closed(lastChanged) {
 			continue
 		}
 
-		before := f.options.Holder.Number()
+		before := s.options.Holder.Number()
 
-		if f.missed(ctx) != nil {
-			continue // the next look tries again
+		if s.readMissed(ctx) != nil {
+			continue // the next check retries
 		}
 
-		last, changed = at, heard
+		lastRevision, lastChanged = at, nextChanged
 
-		if f.options.Holder.Number() > before {
-			f.hint(ctx)
+		if s.options.Holder.Number() > before {
+			s.hint(ctx)
 		}
 	}
 }
 
-func (f *Feed) revision(ctx context.Context) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+func (s *Feed) revision(ctx context.Context) (int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 
-	return f.options.Store.Revision(ctx)
+	return s.options.Store.Revision(ctx)
 }
 
-// missed reads the configuration, and has it in force if it is newer.
-func (f *Feed) missed(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+// readMissed reads the configuration and activates it if it is newer.
+func (s *Feed) readMissed(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 
-	entry, _, err := f.options.Store.Get(ctx, f.options.Key)
+	entry, _, err := s.options.Store.Get(ctx, s.options.Key)
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil
 	}
 
 	if err == nil {
-		f.apply(ctx, fromStore, document{data: entry.Value})
+		s.apply(ctx, fromStore, document{data: entry.Value})
 	}
 
 	return err
--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -1,28 +1,26 @@
-// Package configsync brings the operator's configuration from the platform's store to
-// every node.
+// Package configsync distributes the operator's configuration from the platform's store to
+// all nodes.
 //
-// Two nodes of each failure domain, the watchers, wait on the store for changes of
-// one key, and pass what they get to the others of their failure domain. So the
-// store is called a number of times that grows with the failure domains, not with
-// the nodes.
+// Two nodes of each failure domain, the watchers, watch one key of the store and push each
+// new version to the other nodes of their failure domain. The number of store calls thus
+// grows with the number of failure domains, not with the number of nodes.
 //
-// # What goes wrong, and what is done
+// # Failures
 //
-//   - A watch may hear nothing without an error, because its connection went silent
-//     or the store lost history. Every watcher also reads the store's revision now
-//     and then; the first to find a missed change tells the watchers of all failure
-//     domains.
-//   - A watcher may be turned away by the store, cut off, or gone. Every other node
-//     asks one of its watchers twice a second, then one of other failure domains.
-//     While none of them knows what is current, more and more nodes of the failure
-//     domain go to the store.
-//   - The store may answer nobody in a whole failure domain, and nobody there sees an
-//     error. Who has a version from the store tells a watcher of each other failure
-//     domain.
-//   - Versions come faster than a small host can read them. Only the newest of those
-//     that wait is decoded.
+//   - A watch may miss a change without an error, because its connection is dead or the
+//     store lost history. Each watcher therefore also polls the store's revision. The first
+//     watcher that finds a missed change notifies the watchers of all failure domains.
+//   - A watcher may be rejected by the store, isolated or terminated. Every other node
+//     pulls from a watcher of its failure domain twice a second, and on failure from a
+//     watcher of any failure domain. While no watcher is up to date, a growing number of
+//     nodes of the failure domain read the store themselves.
+//   - The store may stop answering a whole failure domain without an error. A node that
+//     gets a version from the store notifies one watcher of each other failure domain.
+//   - Versions may arrive faster than a small host can decode them. Only the newest
+//     pending version is decoded.
 //
-// Whatever arrives by whichever way, the holder takes it only if it is newer.
+// The holder activates a version only if it is newer than the active one, whatever its
+// source.
 //
 // # Usage
 //
@@ -48,38 +46,38 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Watchers is how many nodes of a failure domain wait on the store. One would leave
-// a gap when it ends, and each more costs calls.
+// Watchers is the number of nodes per failure domain that watch the store. A single watcher
+// would leave a gap when it terminates; each further one costs store calls.
 const Watchers = 2
 
-// Store is what is needed of the platform.
+// Store is the part of the platform's store that configsync uses.
 type Store interface {
 	Get(ctx context.Context, key string) (platform.Entry, int64, error)
 	// Revision returns the revision of the store, which grows with each change.
 	Revision(ctx context.Context) (int64, error)
-	Watch(ctx context.Context, prefix string, after int64, patience time.Duration) (store.Changes, error)
+	Watch(ctx context.Context, prefix string, after int64, timeout time.Duration) (store.Changes, error)
 }
 
-// Peers sends messages to other nodes.
+// Peers sends requests to other nodes.
 type Peers interface {
 	Do(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error
 }
 
-// Members gives other nodes.
+// Members is the membership view of this node.
 type Members interface {
 	Self() membership.Record
-	// Neighbours returns the other live nodes of the own failure domain.
+	// Neighbours returns the other live nodes of this node's failure domain.
 	Neighbours() []membership.Record
 	// Domains returns the failure domains that have live nodes.
 	Domains() []string
-	// FirstOf returns the first nodes of a failure domain in an order that all
-	// nodes agree on.
+	// FirstOf returns the first count live nodes of a failure domain, in an order that is
+	// the same on all nodes.
 	FirstOf(domain string, count int) []membership.Record
-	// Chosen reports whether a node is one of these.
+	// Chosen reports whether the node is among the nodes that FirstOf returns.
 	Chosen(id, domain string, count int) bool
 }
 
-// Options of a feed.
+// Options configures New.
 type Options struct {
 	Key      string
 	Decode   func([]byte) (*route.Table, error)
@@ -88,36 +86,38 @@
 	Peers    Peers
 	Members  Members
 	Recorder *timeline.Recorder
-	// FirstStart says that no other node can hold a version yet.
+	// FirstStart is true if the deployment starts for the first time, so that no other
+	// node can have a version yet.
 	FirstStart bool
-	// Epoch is that of the store; revisions of one say nothing in the next.
+	// Epoch is the current epoch of the store. Revisions of different epochs can't be
+	// compared.
 	Epoch *epoch.Current
 }
 
-// Feed follows the configuration.
+// Feed keeps the configuration of this node up to date.
 type Feed struct {
 	options Options
 
-	current  atomic.Bool  // the store answers this node
-	informed atomic.Int64 // when a watcher that is current was asked, on the steady clock
-	answered atomic.Int64 // when another node answered a question, on the steady clock
-	late     atomic.Bool  // a version that gossip told of is waited for
-	hurry    chan struct{}
-	behind   chan struct{} // a push could not be used
-	fresh    chan struct{} // a newer version is in force; it is to be pushed
-	toldOf   chan struct{} // a version was told of that is not held
+	storeReachable  atomic.Bool   // the store answers this node
+	informedAt      atomic.Int64  // monotonic time of the last contact with an up-to-date watcher
+	answeredAt      atomic.Int64  // monotonic time of the last answer of another node
+	awaitingVersion atomic.Bool   // a version announced by gossip is awaited
+	restartWatch    chan struct{} // signals that the running watch has to be restarted
+	pullNow         chan struct{} // signals that a push could not be applied
+	activated       chan struct{} // signals that a newer version is active and has to be pushed
+	noticed         chan struct{} // signals a notice of a version that this node lacks
 
-	again bool // the epoch changed since follow read the configuration
+	epochChanged bool // the epoch changed since the last read of the configuration
 
 	mu      sync.Mutex
-	waiting map[source]document
-	arrived chan struct{}
-	newest  told // the newest that was told of
+	pending map[source]document
+	queued  chan struct{} // signals that pending is not empty
+	newest  notice        // the notice with the highest version
 
-	pushing sync.Map // addresses that are being pushed to
+	pushing sync.Map // addresses with a push in flight
 }
 
-// source says where a document came from.
+// source is the origin of a document.
 type source string
 
 const (
@@ -125,72 +125,73 @@
 	fromPeer  source = "node"
 )
 
-// document is a configuration that was not decoded yet.
+// document is a configuration that is not decoded yet.
 type document struct {
-	version uint64 // 0 if only the document itself tells
-	data    []byte
-	again   bool // read since the epoch changed
+	version      uint64 // 0 if unknown until decoded
+	data         []byte
+	epochChanged bool // first read after a change of the epoch
 }
 
-// New returns a feed.
+// New returns a syncer that is not running yet.
 func New(o Options) *Feed {
 	if o.Epoch == nil {
 		o.Epoch = epoch.New()
 	}
 
 	return &Feed{
-		options: o, hurry: make(chan struct{}, 1), fresh: make(chan struct{}, 1), behind: make(chan struct{}, 1), arrived: make(chan struct{}, 1),
-		toldOf: make(chan struct{}, 1), waiting: map[source]document{},
+		options: o, restartWatch: make(chan struct{}, 1), activated: make(chan struct{}, 1), pullNow: make(chan struct{}, 1),
+		queued: make(chan struct{}, 1), noticed: make(chan struct{}, 1), pending: map[source]document{},
 	}
 }
 
-// Register adds what other nodes may ask.
-func (f *Feed) Register(s *peer.Server) {
-	s.Handle(methodPull, peer.Typed(f.servePull))
-	s.Handle(methodPush, peer.Typed(f.servePush))
-	s.Handle(methodTell, peer.Typed(f.serveTell))
-	s.Handle(methodHint, peer.Typed(f.serveHint))
+// Register adds the handlers of the methods that other nodes call.
+func (s *Feed) Register(server *peer.Server) {
+	server.Handle(methodPull, peer.Typed(s.servePull))
+	server.Handle(methodPush, peer.Typed(s.servePush))
+	server.Handle(methodNotify, peer.Typed(s.serveNotify))
+	server.Handle(methodHint, peer.Typed(s.serveHint))
 }
 
-// Run follows the configuration until ctx ends.
-func (f *Feed) Run(ctx context.Context) {
+// Run keeps the configuration up to date until ctx ends.
+func (s *Feed) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 
-	for _, loop := range []func(context.Context){f.follow, f.check, f.ask, f.push, f.decode, f.fetchTold} {
+	for _, loop := range []func(context.Context){s.follow, s.pollRevision, s.pullLoop, s.pushLoop, s.decodeLoop, s.fetchNoticed} {
 		wg.Go(func() { loop(ctx) })
 	}
 
 	wg.Wait()
 }
 
-// watches reports whether this node is a watcher of its failure domain.
-func (f *Feed) watches() bool { return f.isAmong(Watchers) }
+// isWatcher reports whether this node is a watcher of its failure domain.
+func (s *Feed) isWatcher() bool { return s.isAmongFirst(Watchers) }
 
-// isAmong reports whether this node is among the first of its failure domain.
-func (f *Feed) isAmong(first int) bool {
-	self := f.options.Members.Self()
+// isAmongFirst reports whether this node is among the first count nodes of its failure
+// domain.
+func (s *Feed) isAmongFirst(count int) bool {
+	self := s.options.Members.Self()
 
-	return f.options.Members.Chosen(self.ID, self.FailureDomain, first)
+	return s.options.Members.Chosen(self.ID, self.FailureDomain, count)
 }
 
-// offer leaves a document to be decoded; an older one from the same source that
-// still waits is dropped.
-func (f *Feed) offer(from source, d document) {
-	if d.version != 0 && d.version <= f.options.Holder.Number() {
+// enqueue queues a document for decoding. It replaces an older pending document from the
+// same source.
+func (s *Feed) enqueue(from source, d document) {
+	if d.version != 0 && d.version <= s.options.Holder.Number() {
 		return
 	}
 
-	f.mu.Lock()
+	s.mu.Lock()
 
-	if have := f.waiting[from]; d.version == 0 || d.version > have.version {
-		f.waiting[from] = d
+	if prior := s.pending[from]; d.version == 0 || d.version > prior.version {
+		s.pending[from] = d
 	}
-	f.mu.Unlock()
+	s.mu.Unlock()
 
-	signal(f.arrived)
+	signal(s.queued)
 }
 
-// signal wakes the receiver; one that is awake looks again by itself.
+// signal wakes the receiver of c. A pending signal is not duplicated.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -198,60 +199,60 @@
 	}
 }
 
-func (f *Feed) decode(ctx context.Context) {
+func (s *Feed) decodeLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.arrived:
+		case <-s.queued:
 		}
 
-		for from, d := range f.take() {
-			f.apply(ctx, from, d)
+		for from, d := range s.takePending() {
+			s.apply(ctx, from, d)
 		}
 	}
 }
 
-func (f *Feed) take() map[source]document {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *Feed) takePending() map[source]document {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	out := f.waiting
-	f.waiting = map[source]document{}
+	out := s.pending
+	s.pending = map[source]document{}
 
 	return out
 }
 
-func (f *Feed) apply(ctx context.Context, from source, d document) {
-	if d.version != 0 && d.version <= f.options.Holder.Number() {
+func (s *Feed) apply(ctx context.Context, from source, d document) {
+	if d.version != 0 && d.version <= s.options.Holder.Number() {
 		return
 	}
 
-	table, err := f.options.Decode(d.data)
+	table, err := s.options.Decode(d.data)
 	if err != nil {
-		f.options.Recorder.Record(event.VersionRefused, timeline.Entry{Detail: string(from) + ": " + err.Error()})
+		s.options.Recorder.Record(event.VersionRefused, timeline.Entry{Detail: string(from) + ": " + err.Error()})
 
 		return
 	}
 
-	if held := f.options.Holder.Number(); d.again && table.Version() < held {
-		f.options.Recorder.Record(event.VersionOlder, timeline.Entry{
-			Version: table.Version(), Detail: "store, version " + strconv.FormatUint(held, 10) + " is held",
+	if held := s.options.Holder.Number(); d.epochChanged && table.Version() < held {
+		s.options.Recorder.Record(event.VersionOlder, timeline.Entry{
+			Version: table.Version(), Detail: "store, version " + strconv.FormatUint(held, 10) + " is active",
 		})
 	}
 
-	if f.options.Holder.Offer(table, d.data) {
-		f.options.Recorder.Record(event.VersionInForce, timeline.Entry{Version: table.Version(), Detail: string(from)})
-		signal(f.fresh)
+	if s.options.Holder.Offer(table, d.data) {
+		s.options.Recorder.Record(event.VersionInForce, timeline.Entry{Version: table.Version(), Detail: string(from)})
+		signal(s.activated)
 
-		// The first version of a process is news to nobody.
-		if before, _ := f.options.Holder.Before(); from == fromStore && before != 0 {
-			f.tell(ctx, table.Version())
+		// The first version of a process is not announced: other nodes have it already.
+		if before, _ := s.options.Holder.Before(); from == fromStore && before != 0 {
+			s.notifyDomains(ctx, table.Version())
 		}
 	}
 }
 
-// started is where the steady clock is read from.
-var started = time.Now()
+// processStart is the origin of monotonic.
+var processStart = time.Now()
 
-func steady() int64 { return int64(time.Since(started)) }
+func monotonic() int64 { return int64(time.Since(processStart)) }
--- a/internal/configsync/configsync_test.go
+++ b/internal/configsync/configsync_test.go
@@ -8,75 +8,75 @@
 	"gotest.tools/v3/assert"
 )
 
-// Only the watchers call the store while all is well, however many nodes there are.
-func TestAVersionIsInForceSoonAndTheStoreIsCalledByFew(t *testing.T) {
+// In normal operation only the watchers call the store, whatever the number of nodes.
+func TestVersionReachesAllNodesWithFewStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 20)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
+		sim := newSimulation(t, 20)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
 		time.Sleep(30 * time.Second)
-		w.set(func() { w.calls = 0 })
+		sim.locked(func() { sim.calls = 0 })
 
 		for v := int64(2); v <= 6; v++ {
-			w.write(v)
-			w.within(t, uint64(v), 100*time.Millisecond)
+			sim.write(v)
+			sim.awaitVersion(t, uint64(v), 100*time.Millisecond)
 			time.Sleep(2 * time.Second)
 		}
 
-		w.set(func() {
-			t.Logf("%d calls in 10 s with 5 versions, %d open watches", w.calls, w.watchers)
-			assert.Assert(t, w.calls < 50)
-			assert.Equal(t, w.watchers, Watchers)
+		sim.locked(func() {
+			t.Logf("%d calls in 10 s with 5 versions, %d open watches", sim.calls, sim.watchers)
+			assert.Assert(t, sim.calls < 50)
+			assert.Equal(t, sim.watchers, Watchers)
 		})
 	})
 }
 
-// The store loses history and no watch hears of a change. A look at its revision
-// finds it, and the others are told.
-func TestAChangeThatNoWatchHears(t *testing.T) {
+// The store loses history and no watch returns the change. A check of the revision finds it.
+func TestChangeMissedByAllWatchesIsFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 6)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
+		sim := newSimulation(t, 6)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
 		time.Sleep(5 * time.Second)
-		w.set(func() { w.deaf = true })
-		w.write(2)
-		w.within(t, 2, 4*time.Second)
+		sim.locked(func() { sim.watchesSilent = true })
+		sim.write(2)
+		sim.awaitVersion(t, 2, 4*time.Second)
 	})
 }
 
-// The read after a look that found a change fails, and no later look finds a change.
-func TestALookWhoseReadFailsIsRepeated(t *testing.T) {
+// A check finds a changed revision, but the read that follows fails. Unless the read is
+// retried, the change is lost: the next check sees no difference.
+func TestFailedReadAfterRevisionCheckIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, Watchers)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
+		sim := newSimulation(t, Watchers)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
 		time.Sleep(5 * time.Second)
-		w.set(func() {
-			w.deaf = true
+		sim.locked(func() {
+			sim.watchesSilent = true
 
-			for _, n := range w.nodes {
-				n.unread = 1
+			for _, n := range sim.nodes {
+				n.failingReads = 1
 			}
 		})
-		w.write(2)
-		w.within(t, 2, 8*time.Second)
+		sim.write(2)
+		sim.awaitVersion(t, 2, 8*time.Second)
 	})
 }
 
-// The watcher that finds a missed change tells those of the other failure domains, which
-// would find it only by looks of their own.
-func TestWhoFindsAMissedChangeTellsTheOthers(t *testing.T) {
+// Without the hint, watchers of other failure domains find a missed change only by their own
+// revision checks.
+func TestWatcherThatFindsMissedChangeNotifiesOtherDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldIn(t, 4, 12)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
+		sim := newSimulationIn(t, 4, 12)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
 		time.Sleep(5 * time.Second)
-		w.set(func() { w.deaf = true })
-		w.write(2)
+		sim.locked(func() { sim.watchesSilent = true })
+		sim.write(2)
 
 		first := func() bool {
-			for _, n := range w.nodes {
+			for _, n := range sim.nodes {
 				if n.holder.Number() == 2 {
 					return true
 				}
@@ -88,254 +88,253 @@
 			time.Sleep(time.Millisecond)
 		}
 
-		w.within(t, 2, 100*time.Millisecond)
+		sim.awaitVersion(t, 2, 100*time.Millisecond)
 	})
 }
 
-// The store turns both watchers away and serves the others. These notice that nobody
-// tells them what is current, and ask by themselves.
-func TestWatchersThatAreTurnedAway(t *testing.T) {
+// The store rejects both watchers and answers the other nodes. These get no answer from an
+// up-to-date watcher and read the store themselves.
+func TestNodesReplaceWatchersRejectedByStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 6)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
+		sim := newSimulation(t, 6)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
 		time.Sleep(5 * time.Second)
-		w.set(func() { w.turned["n0"], w.turned["n1"], w.deaf = true, true, true })
-		time.Sleep(25 * time.Second) // the watches end
-		w.set(func() { w.deaf = false })
-		w.write(2)
-		w.within(t, 2, 3*time.Second)
+		sim.locked(func() { sim.rejected["n0"], sim.rejected["n1"], sim.watchesSilent = true, true, true })
+		time.Sleep(25 * time.Second) // longer than a watch
+		sim.locked(func() { sim.watchesSilent = false })
+		sim.write(2)
+		sim.awaitVersion(t, 2, 3*time.Second)
 	})
 }
 
-// The store stops answering all nodes of a failure domain, whose connections stay
-// open: their watches wait on and tell nothing. Callers there would be sent by old
-// settings until the connections are found out.
-func TestAFailureDomainThatTheStoreDoesNotAnswer(t *testing.T) {
+// The store stops answering all nodes of a failure domain while their connections stay open.
+// Their watches return neither a change nor an error, and nodes there would route by an
+// outdated configuration until the dead connections are detected.
+func TestFailureDomainWithoutStoreAnswersGetsVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldIn(t, 3, 12)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
+		sim := newSimulationIn(t, 3, 12)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
 		time.Sleep(5 * time.Second)
-		w.set(func() {
+		sim.locked(func() {
 			for i := range 4 {
-				w.silent[w.record(3*i).ID] = true
+				sim.silent[sim.record(3*i).ID] = true
 			}
 		})
 
 		for v := int64(2); v < 6; v++ {
-			w.write(v)
-			w.within(t, uint64(v), time.Second)
+			sim.write(v)
+			sim.awaitVersion(t, uint64(v), time.Second)
 			time.Sleep(time.Second)
 		}
 	})
 }
 
-// The store is away for a while. Each call that it turns away is paid for and tells
-// nobody anything, so not every node may ask again and again.
-func TestAStoreThatIsAwayIsNotAskedByAll(t *testing.T) {
+// During an outage each call to the store fails and still has to be paid for, so only a few
+// nodes may retry.
+func TestUnavailableStoreGetsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldIn(t, 4, 84)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
+		sim := newSimulationIn(t, 4, 84)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
 		time.Sleep(5 * time.Second)
 
-		away := func(is bool) {
-			w.set(func() {
-				w.deaf, w.calls = is, 0
-				close(w.changed)
-				w.changed = make(chan struct{})
+		setOutage := func(down bool) {
+			sim.locked(func() {
+				sim.watchesSilent, sim.calls = down, 0
+				close(sim.changed)
+				sim.changed = make(chan struct{})
 
-				for id := range w.nodes {
-					w.turned[id] = is
+				for id := range sim.nodes {
+					sim.rejected[id] = down
 				}
 			})
 		}
 
-		away(true)
+		setOutage(true)
 		time.Sleep(4500 * time.Millisecond)
-		w.set(func() {
-			t.Logf("%d calls in 4.5 s", w.calls)
-			assert.Assert(t, w.calls < 130)
+		sim.locked(func() {
+			t.Logf("%d calls in 4.5 s", sim.calls)
+			assert.Assert(t, sim.calls < 130)
 		})
-		away(false)
-		w.write(2)
-		w.within(t, 2, 3*time.Second)
+		setOutage(false)
+		sim.write(2)
+		sim.awaitVersion(t, 2, 3*time.Second)
 	})
 }
 
-// A node is cut off from all others and still reaches the store.
-func TestANodeThatIsCutOffFromOthers(t *testing.T) {
+// A node that reaches no other node still reaches the store.
+func TestNodeIsolatedFromPeersReadsStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 6)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
+		sim := newSimulation(t, 6)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
 		time.Sleep(5 * time.Second)
-		w.set(func() { w.cut["n5"] = true })
-		w.write(2)
-		w.within(t, 2, 2*time.Second)
+		sim.locked(func() { sim.isolated["n5"] = true })
+		sim.write(2)
+		sim.awaitVersion(t, 2, 2*time.Second)
 	})
 }
 
-// A node is turned away by the store and has the version from another node.
-func TestANodeThatTheStoreTurnsAway(t *testing.T) {
+// A node that the store rejects gets the version from another node.
+func TestNodeRejectedByStoreGetsVersionFromPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 6)
-		w.set(func() { w.turned["n0"], w.turned["n5"] = true, true })
-		w.write(1)
-		w.within(t, 1, 3*time.Second)
+		sim := newSimulation(t, 6)
+		sim.locked(func() { sim.rejected["n0"], sim.rejected["n5"] = true, true })
+		sim.write(1)
+		sim.awaitVersion(t, 1, 3*time.Second)
 		time.Sleep(5 * time.Second)
-		w.write(2)
-		w.within(t, 2, 2*time.Second)
+		sim.write(2)
+		sim.awaitVersion(t, 2, 2*time.Second)
 	})
 }
 
-// A process starts again. The store gives it the settings as text, which is slow on a
-// small link; a watcher gives them packed. It must not begin behind the others, so only
-// a watcher that the store answers will do.
-func TestAProcessThatStartsAgainHasTheVersionFromAnotherNode(t *testing.T) {
+// The store sends the configuration uncompressed, which is slow on a small link; a watcher
+// sends it compressed. Only a watcher that the store answers is accepted as source, so that
+// the process does not start with an outdated version.
+func TestRestartedProcessGetsFirstVersionFromPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 6)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
+		sim := newSimulation(t, 6)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
 		time.Sleep(5 * time.Second)
 
 		restart := func(fromStore bool) {
 			t.Helper()
 
-			n, stop := w.restart("n5")
+			n, stop := sim.restart("n5")
 
-			time.Sleep(peersFirst + 50*time.Millisecond)
+			time.Sleep(firstPullTimeout + 50*time.Millisecond)
 			stop()
 			assert.Equal(t, n.holder.Number(), uint64(1))
 			assert.Equal(t, n.calls > 0, fromStore)
 		}
 
 		restart(false)
-		w.set(func() { w.cut["n0"], w.cut["n1"] = true, true })
+		sim.locked(func() { sim.isolated["n0"], sim.isolated["n1"] = true, true })
 		restart(true)
 	})
 }
 
-// A process starts again while the host of a watcher has no power: connections to it are
-// neither made nor refused. Asked one after the other, the node waits for that host while
-// its callers are turned away, and another watcher would have answered at once.
-func TestAProcessThatStartsAgainDoesNotWaitForAHostWithoutPower(t *testing.T) {
+// A process restarts while the host of a watcher has no power, so that connections to it are
+// neither made nor refused. With one pull at a time, the node would wait for that host and
+// reject its callers although another watcher answers at once.
+func TestRestartedProcessDoesNotWaitForUnresponsiveWatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 6)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
+		sim := newSimulation(t, 6)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
 		time.Sleep(5 * time.Second)
-		w.set(func() { w.hung["n0"] = true })
+		sim.locked(func() { sim.hung["n0"] = true })
 
-		n, stop := w.restart("n5")
+		n, stop := sim.restart("n5")
 		defer stop()
 
-		time.Sleep(5 * peersPause)
+		time.Sleep(5 * firstPullInterval)
 		assert.Equal(t, n.holder.Number(), uint64(1))
 		assert.Equal(t, n.calls, 0)
 	})
 }
 
-// A process that is stopped while it looks for its first version spins until the time for that is up.
-func TestAProcessThatStopsWhileItLooksForAVersionEndsAtOnce(t *testing.T) {
+// A process that is stopped during its first pull must not loop until the timeout.
+func TestStopDuringFirstPullReturnsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 6)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
-		w.set(func() { w.cut["n5"] = true })
+		sim := newSimulation(t, 6)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
+		sim.locked(func() { sim.isolated["n5"] = true })
 
-		_, stop := w.restart("n5")
+		_, stop := sim.restart("n5")
 
 		time.Sleep(5 * time.Millisecond)
 
 		began := time.Now()
 
 		stop()
-		assert.Assert(t, time.Since(began) < peersPause, time.Since(began))
+		assert.Assert(t, time.Since(began) < firstPullInterval, time.Since(began))
 	})
 }
 
-// All processes start again at the same time and none holds a version. Those that will
-// watch the store must not wait for each other, or all callers are turned away meanwhile.
-func TestAfterARestartOfAllTheWatchersGoToTheStore(t *testing.T) {
+// All processes restart at the same time and none has a version. Watchers must not wait for
+// each other, because all callers are rejected meanwhile.
+func TestWatchersReadStoreAfterRestartOfAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 12)
-		w.write(1)
-		w.within(t, 1, 100*time.Millisecond)
-		w.set(func() { assert.Assert(t, w.calls < 4*Watchers, "%d", w.calls) })
+		sim := newSimulation(t, 12)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 100*time.Millisecond)
+		sim.locked(func() { assert.Assert(t, sim.calls < 4*Watchers, "%d", sim.calls) })
 	})
 }
 
-// An operator changes settings five times a second. Each answer of a watch that is asked
-// for again at once is a call of each watcher, and a push to all others, for a version
-// that is out of date before most have read it.
-func TestVersionsThatComeFastAreTakenTogether(t *testing.T) {
+// An operator writes five versions a second. Without a pause between watches, each version
+// costs a call of every watcher and a push to all other nodes, although most versions are
+// outdated before they are decoded.
+func TestRapidVersionsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			versions = 26
 			gap      = 200 * time.Millisecond
 			domains  = 4
-			// A look at the revision each 0.8 s by one of all watchers comes with them.
+			// Includes one revision check every 0.8 s by all watchers together.
 			mostCalls = domains*Watchers*versions*6/10 + 10
 		)
 
-		w := newWorldIn(t, domains, 24)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
+		sim := newSimulationIn(t, domains, 24)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
 		time.Sleep(5 * time.Second)
-		w.set(func() { w.calls = 0 })
+		sim.locked(func() { sim.calls = 0 })
 
 		for v := int64(2); v < versions; v++ {
-			w.write(v)
+			sim.write(v)
 			time.Sleep(gap)
 		}
 
-		w.write(versions)
-		w.within(t, versions, 500*time.Millisecond)
-		w.set(func() {
-			t.Logf("%d calls for %d versions", w.calls, versions)
-			assert.Assert(t, w.calls <= mostCalls, "%d calls", w.calls)
+		sim.write(versions)
+		sim.awaitVersion(t, versions, 500*time.Millisecond)
+		sim.locked(func() {
+			t.Logf("%d calls for %d versions", sim.calls, versions)
+			assert.Assert(t, sim.calls <= mostCalls, "%d calls", sim.calls)
 		})
 	})
 }
 
-// All hosts start for the first time, long before the operator writes the first version.
-// If each asks the store and waits there, a large fleet makes hundreds of calls that tell
-// nobody anything.
-func TestAFleetThatStartsForTheFirstTimeWaitsAtItsWatchers(t *testing.T) {
+// All hosts start for the first time, long before the operator writes the first version. If
+// each node watched the store, a large fleet would make hundreds of useless calls.
+func TestFirstStartOfFleetLeavesStoreToWatchers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const domains = 3
 
-		w := newWorldIn(t, domains, 60, func(o *Options) { o.FirstStart = true })
+		sim := newSimulationIn(t, domains, 60, func(o *Options) { o.FirstStart = true })
 
 		time.Sleep(5 * time.Second)
-		w.set(func() {
-			t.Logf("%d calls", w.calls)
-			assert.Assert(t, w.calls <= 10*domains*Watchers, "%d calls", w.calls)
+		sim.locked(func() {
+			t.Logf("%d calls", sim.calls)
+			assert.Assert(t, sim.calls <= 10*domains*Watchers, "%d calls", sim.calls)
 		})
-		w.write(1)
-		w.within(t, 1, time.Second)
+		sim.write(1)
+		sim.awaitVersion(t, 1, time.Second)
 	})
 }
 
-// Versions come twenty times a second. All nodes are at the last one soon after, and
-// none was ever taken back.
-func TestAStormOfVersions(t *testing.T) {
+// With twenty versions a second, all nodes soon reach the last one and no node ever goes back
+// to an older one.
+func TestRapidVersionsNeverLowerTheActiveVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 10)
-		w.write(1)
-		w.within(t, 1, 2*time.Second)
+		sim := newSimulation(t, 10)
+		sim.write(1)
+		sim.awaitVersion(t, 1, 2*time.Second)
 
-		before := w.lowest()
+		before := sim.lowestVersion()
 
 		for v := int64(2); v <= 60; v++ {
-			w.write(v)
+			sim.write(v)
 			time.Sleep(50 * time.Millisecond)
-			assert.Assert(t, w.lowest() >= before)
-			before = w.lowest()
+			assert.Assert(t, sim.lowestVersion() >= before)
+			before = sim.lowestVersion()
 		}
 
-		w.within(t, 60, 700*time.Millisecond)
+		sim.awaitVersion(t, 60, 700*time.Millisecond)
 	})
 }
--- a/internal/configsync/delta.go
+++ b/internal/configsync/delta.go
@@ -8,20 +8,21 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// errDelta is returned for a document that can't be restored.
+// errDelta is returned for a document that can't be decompressed.
 var errDelta = errs.New("feed.delta", http.StatusUnprocessableEntity, "document can't be restored")
 
-// baseID names the dictionary, which is the document of the base version.
+// baseID is the ID of the dictionary, which is the document of the base version.
 const baseID = 1
 
-// pack compresses a document against the one before it. Versions differ in few
-// routes: one of 1,600 changed routes makes 270 bytes of 238,000 (TestDeltaIsSmall),
-// where the document by itself makes 17,000, which fill a link of 5 megabits for 27
-// ms at every node and for half a second at a watcher with 20 others.
+// pack compresses a document with the previous version as dictionary, because successive
+// versions differ in few routes. With one of 1,600 routes changed, 238,000 bytes compress
+// to 270 (TestDeltaIsSmall). Without a dictionary they compress to 17,000 bytes, which
+// occupy a link of 5 Mbit/s for 27 ms at every node, and for half a second at a watcher
+// that pushes to 20 nodes.
 func pack(base, next []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(windowOf(len(base) + len(next))),
+		zstd.WithWindowSize(windowSize(len(base) + len(next))),
 	}
 	if len(base) > 0 {
 		options = append(options, zstd.WithEncoderDictRaw(baseID, base))
@@ -37,8 +38,8 @@
 	return packed, e.Close()
 }
 
-// windowOf is the smallest window that reaches over both documents.
-func windowOf(size int) int {
+// windowSize returns the smallest window that covers both documents.
+func windowSize(size int) int {
 	window := zstd.MinWindowSize
 	for window < size && window < maxDocument {
 		window *= 2
@@ -47,7 +48,7 @@
 	return window
 }
 
-// unpack restores a document.
+// unpack restores a document that pack compressed with the same base.
 func unpack(base, packed []byte) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxDocument),
--- a/internal/configsync/delta_test.go
+++ b/internal/configsync/delta_test.go
@@ -23,8 +23,8 @@
 	return b.Bytes()
 }
 
-// A version that differs in one route is sent to every node of a failure domain over
-// links of a few megabits; sent whole it holds up the calls on them.
+// A version that differs in one route is sent to every node of a failure domain over links of
+// a few Mbit/s. Sent in full, it would delay the calls on these links.
 func TestDeltaIsSmall(t *testing.T) {
 	base, next := lines(-1), lines(800)
 
@@ -45,9 +45,9 @@
 	assert.Assert(t, bytes.Equal(got, next))
 }
 
-// A delta that was made against another version than the one that is held must not
-// become a document that nobody wrote.
-func TestDeltaOfAnotherBaseIsRefused(t *testing.T) {
+// A delta applied to a version other than its base must not produce a document that the
+// operator never wrote.
+func TestDeltaWithWrongBaseIsRejected(t *testing.T) {
 	delta, err := pack(lines(-1), lines(800))
 	assert.NilError(t, err)
 
--- a/internal/configsync/first.go
+++ b/internal/configsync/first.go
@@ -11,25 +11,28 @@
 )
 
 const (
-	// meetFirst is how long a node of a fleet that starts for the first time waits before
-	// it looks who watches the store: nobody can hold a version yet, and alone each would.
-	meetFirst = time.Second
-	// peersFirst is how long a node that starts again tries to have a version from
-	// another one, asking one each peersPause: it knows others after some 30 ms, and
-	// those with fast links hold a version 80 ms after a restart of all.
-	peersFirst = 300 * time.Millisecond
-	peersPause = 10 * time.Millisecond
+	// joinDelay is how long a node waits for the membership view to fill when the deployment
+	// starts for the first time. No node can have a version yet, and a node that knows no
+	// others would watch the store itself.
+	joinDelay = time.Second
+	// firstPullTimeout is how long a restarted node tries to pull the first version from other
+	// nodes, contacting one every firstPullInterval. It knows other nodes after about 30 ms, and
+	// after a restart of all nodes those with fast links have a version after 80 ms.
+	firstPullTimeout  = 300 * time.Millisecond
+	firstPullInterval = 10 * time.Millisecond
 )
 
-// fromPeers has the first version from a watcher, if one can be found at once.
+// pullFirst pulls the first version of this process from a watcher, if one is known soon
+// enough.
 //
-// A process that starts again is of no use until it holds a version. The store gives
-// it as text, a third of a megabyte for 1,600 routes, which takes half a second on a
-// link of 5 megabits; a node gives it packed, 19 times smaller. Only a node that the
-// store answers will do: this one must not begin behind the others.
-func (f *Feed) fromPeers(ctx context.Context) {
-	if f.options.FirstStart {
-		idle.For(ctx, meetFirst)
+// A restarted process can't serve calls before it has a version. Read from the store, the
+// configuration is uncompressed text, a third of a megabyte for 1,600 routes, which takes half
+// a second on a link of 5 Mbit/s; another node sends it compressed, 19 times smaller. Only a
+// node that the store answers is accepted as source, so that this node does not start with an
+// outdated version.
+func (s *Feed) pullFirst(ctx context.Context) {
+	if s.options.FirstStart {
+		idle.For(ctx, joinDelay)
 
 		return
 	}
@@ -37,61 +40,61 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
-	asked := &asked{}
+	firstPull := &firstPull{}
 
-	for began, turn := time.Now(), 0; ctx.Err() == nil && time.Since(began) < peersFirst && f.options.Holder.Number() == 0; turn++ {
-		watchers := without(f.nearFirst(), f.options.Members.Self().ID)
+	for start, turn := time.Now(), 0; ctx.Err() == nil && time.Since(start) < firstPullTimeout && s.options.Holder.Number() == 0; turn++ {
+		watchers := without(s.watchersNearestFirst(), s.options.Members.Self().ID)
 
-		// After a restart of all nodes somebody has to go to the store first: those that
-		// will watch it.
-		if len(watchers) > 0 && f.watches() {
+		// After a restart of all nodes no node has a version, so the watchers read the store.
+		if len(watchers) > 0 && s.isWatcher() {
 			return
 		}
 
-		if asked.had.Load() {
-			f.informed.Store(steady())
-			f.awaitFirst(ctx)
+		if firstPull.succeeded.Load() {
+			s.informedAt.Store(monotonic())
+			s.awaitFirstVersion(ctx)
 
 			return
 		}
 
 		if len(watchers) > 0 {
-			go f.pullFirst(ctx, watchers[turn%len(watchers)].PeerAddress, asked)
+			go s.pullFirstFrom(ctx, watchers[turn%len(watchers)].PeerAddress, firstPull)
 		}
 
-		idle.For(ctx, peersPause)
+		idle.For(ctx, firstPullInterval)
 	}
 }
 
-// asked is who is asked for the first version of a process now, and whether one had it.
-type asked struct {
-	had   atomic.Bool
-	nodes sync.Map // by address
+// firstPull is the state of the concurrent pulls of the first version.
+type firstPull struct {
+	succeeded atomic.Bool
+	inFlight  sync.Map // addresses
 }
 
-// pullFirst asks a node for the first version, beside others: hosts without power answer
-// nothing, and one of them asked alone takes all the time that there is.
-func (f *Feed) pullFirst(ctx context.Context, address string, a *asked) {
-	if _, busy := a.nodes.LoadOrStore(address, true); busy || a.had.Load() {
+// pullFirstFrom pulls the first version from one node while other pulls are in flight: a single
+// pull from a host without power, which never answers, would use up firstPullTimeout.
+func (s *Feed) pullFirstFrom(ctx context.Context, address string, state *firstPull) {
+	if _, busy := state.inFlight.LoadOrStore(address, true); busy || state.succeeded.Load() {
 		return
 	}
-	defer a.nodes.Delete(address)
+	defer state.inFlight.Delete(address)
 
-	if f.pull(ctx, address) {
-		a.had.Store(true)
+	if s.pull(ctx, address) {
+		state.succeeded.Store(true)
 	}
 }
 
-// nearFirst returns the watchers of all failure domains, those of the own one first.
-func (f *Feed) nearFirst() []membership.Record {
-	self := f.options.Members.Self()
+// watchersNearestFirst returns the watchers of all failure domains, those of this node's
+// failure domain first.
+func (s *Feed) watchersNearestFirst() []membership.Record {
+	self := s.options.Members.Self()
 
-	return append(f.options.Members.FirstOf(self.FailureDomain, Watchers), f.watchersOfAll()...)
+	return append(s.options.Members.FirstOf(self.FailureDomain, Watchers), s.allWatchers()...)
 }
 
-// awaitFirst waits until what was had is decoded.
-func (f *Feed) awaitFirst(ctx context.Context) {
-	for began := time.Now(); ctx.Err() == nil && f.options.Holder.Number() == 0 && time.Since(began) < peersFirst; {
-		idle.For(ctx, peersPause)
+// awaitFirstVersion waits until the pulled version is decoded.
+func (s *Feed) awaitFirstVersion(ctx context.Context) {
+	for start := time.Now(); ctx.Err() == nil && s.options.Holder.Number() == 0 && time.Since(start) < firstPullTimeout; {
+		idle.For(ctx, firstPullInterval)
 	}
 }
--- a/internal/configsync/follow.go
+++ b/internal/configsync/follow.go
@@ -14,138 +14,140 @@
 )
 
 const (
-	// patience is how long the store lets a watch wait; each one is a paid call.
-	patience = 20 * time.Second
-	// spare is what an answer may take beyond that.
-	spare = 2 * time.Second
-	// readTime bounds a read: 250 times the store's usual 4 ms.
-	readTime = time.Second
-	// firstPause and lastPause bound the pause between tries while the store does
-	// not answer.
-	firstPause = 50 * time.Millisecond
-	lastPause  = 2 * time.Second
-	// settle is after how long at the earliest a watch follows one that brought a version.
-	// Versions that come faster are taken together: each would be a call of each watcher and
-	// a push to all others, and most are out of date before they are read.
-	settle = 400 * time.Millisecond
-	// idlePause is how often a node that is not a watcher looks whether it has to go
-	// to the store.
-	idlePause = 200 * time.Millisecond
-	// uninformed is how long no watcher may have told that it is current before that:
-	// two questions.
-	uninformed = 1200 * time.Millisecond
-	// widenEvery is after how long twice as many nodes of a failure domain go to the
-	// store while nobody is current: asked by all at once, a store that is away costs a call
-	// a node and try (TestAStoreThatIsAwayIsNotAskedByAll).
-	widenEvery = 3 * time.Second
-	// spreadChange is within what those who watch read again after a change of the epoch:
-	// long enough for their calls not to come at once, short beside the 2 s of a version.
-	spreadChange = 500 * time.Millisecond
-	// maxDoublings lets all nodes of the largest failure domain go to the store.
-	maxDoublings = 12
+	// watchTimeout is how long the store keeps a watch open; each watch is a paid call.
+	watchTimeout = 20 * time.Second
+	// watchMargin is the additional time allowed for the answer to a watch.
+	watchMargin = 2 * time.Second
+	// readTimeout bounds a read: 250 times the store's usual 4 ms.
+	readTimeout = time.Second
+	// minBackoff and maxBackoff bound the pause between attempts while the store does not
+	// answer.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// minWatchInterval is the minimum pause after a watch that returned a version. Versions
+	// that follow each other faster are batched: each would cost a call of every watcher and a
+	// push to all other nodes, and most would be outdated before they are decoded.
+	minWatchInterval = 400 * time.Millisecond
+	// roleCheckInterval is how often a node that is not a watcher checks whether it has to
+	// read the store itself.
+	roleCheckInterval = 200 * time.Millisecond
+	// informedTimeout is how long a node waits for contact with an up-to-date watcher before
+	// it reads the store itself: two pulls.
+	informedTimeout = 1200 * time.Millisecond
+	// fallbackDoublingInterval is the time after which twice as many nodes of a failure domain
+	// read the store while no watcher is up to date. If all nodes did at once, an unavailable
+	// store would cost one call per node and attempt (TestUnavailableStoreGetsFewCalls).
+	fallbackDoublingInterval = 3 * time.Second
+	// epochRereadJitter is the time over which the reads after a change of the epoch are
+	// spread: long enough to avoid a burst of calls, short compared with the 2 s in which a
+	// version has to become active.
+	epochRereadJitter = 500 * time.Millisecond
+	// maxFallbackDoublings is enough for all nodes of the largest failure domain to read the
+	// store.
+	maxFallbackDoublings = 12
 )
 
-// needsStore reports whether this node has to ask the store itself.
-func (f *Feed) needsStore() bool {
-	if f.watches() {
+// needsStore reports whether this node has to read the store itself.
+func (s *Feed) needsStore() bool {
+	if s.isWatcher() {
 		return true
 	}
 
-	// A process that starts again is of no use until it holds a version; in a fleet that
-	// starts for the first time there may be none.
-	if f.options.Holder.Number() == 0 && !f.options.FirstStart {
+	// A restarted process can't serve calls before it has a version. When the deployment
+	// starts for the first time, the store may have none.
+	if s.options.Holder.Number() == 0 && !s.options.FirstStart {
 		return true
 	}
 
-	now := steady()
+	now := monotonic()
 
-	lacking := now - f.informed.Load() - int64(uninformed)
-	if lacking < 0 {
+	uninformedFor := now - s.informedAt.Load() - int64(informedTimeout)
+	if uninformedFor < 0 {
 		return false
 	}
 
-	// Who hears no other node may be the only one that the store answers.
-	if now-f.answered.Load() > int64(uninformed) {
+	// A node that no other node answers may be the only one that reaches the store.
+	if now-s.answeredAt.Load() > int64(informedTimeout) {
 		return true
 	}
 
-	return f.isAmong(Watchers << min(1+lacking/int64(widenEvery), maxDoublings))
+	return s.isAmongFirst(Watchers << min(1+uninformedFor/int64(fallbackDoublingInterval), maxFallbackDoublings))
 }
 
-// pauseAfter is the pause after a call that the store did not answer. Who goes to the
-// store in place of watchers that get no answer tries once, then seldom: in an outage each
-// such call is in vain and paid for.
-func (f *Feed) pauseAfter() time.Duration {
-	if f.watches() || f.options.Holder.Number() == 0 {
-		return firstPause
+// backoffAfterError returns the first pause after a failed store call. A node that stands in
+// for watchers without answers retries rarely: during an outage every call fails and still
+// has to be paid for.
+func (s *Feed) backoffAfterError() time.Duration {
+	if s.isWatcher() || s.options.Holder.Number() == 0 {
+		return minBackoff
 	}
 
-	return lastPause
+	return maxBackoff
 }
 
-// follow waits on the store while that is this node's part.
-func (f *Feed) follow(ctx context.Context) {
-	pause := firstPause
+// follow watches the store while needsStore holds.
+func (s *Feed) follow(ctx context.Context) {
+	backoff := minBackoff
 
-	f.fromPeers(ctx)
+	s.pullFirst(ctx)
 
 	for ctx.Err() == nil {
-		if !f.needsStore() {
-			f.current.Store(false)
-			idle.For(ctx, idlePause)
+		if !s.needsStore() {
+			s.storeReachable.Store(false)
+			idle.For(ctx, roleCheckInterval)
 
-			pause = f.pauseAfter()
+			backoff = s.backoffAfterError()
 
 			continue
 		}
 
-		began := time.Now()
-		changed := f.options.Epoch.Changed()
-		err := f.watch(ctx, changed)
+		start := time.Now()
+		changed := s.options.Epoch.Changed()
+		err := s.watch(ctx, changed)
 
 		if idle.Closed(changed) {
-			f.again = true
-			pause = firstPause
-			idle.For(ctx, rand.N(spreadChange))
+			s.epochChanged = true
+			backoff = minBackoff
+			idle.For(ctx, rand.N(epochRereadJitter))
 
 			continue
 		}
 
-		if err == nil || errors.Is(err, store.ErrCompacted) || errors.Is(err, errHurry) {
+		if err == nil || errors.Is(err, store.ErrCompacted) || errors.Is(err, errRestartWatch) {
 			continue
 		}
 
-		f.lost(err)
+		s.reportUnreachable(err)
 
-		if time.Since(began) > spare {
-			pause = f.pauseAfter()
+		if time.Since(start) > watchMargin {
+			backoff = s.backoffAfterError()
 		}
 
-		if idle.Unless(ctx, pause/2+rand.N(pause), changed) {
-			f.again = true
-			idle.For(ctx, rand.N(spreadChange))
+		if idle.Unless(ctx, backoff/2+rand.N(backoff), changed) {
+			s.epochChanged = true
+			idle.For(ctx, rand.N(epochRereadJitter))
 		}
 
-		pause = min(2*pause, lastPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// errHurry ends a watch that has missed a version, or waits behind a revision of an epoch
-// that is over.
-var errHurry = errors.New("a newer version or epoch was heard of")
+// errRestartWatch ends a watch that has missed a version, or that waits for a revision of an
+// earlier epoch.
+var errRestartWatch = errors.New("a newer version or epoch is known")
 
-// watch reads the configuration and then its changes, until something fails, the epoch
-// changes or this node is no longer a watcher.
-func (f *Feed) watch(ctx context.Context, changed <-chan struct{}) error {
-	at, err := f.read(ctx)
+// watch reads the configuration and then its changes, until a call fails, the epoch changes
+// or this node no longer needs the store.
+func (s *Feed) watch(ctx context.Context, changed <-chan struct{}) error {
+	at, err := s.read(ctx)
 	if err != nil {
 		return err
 	}
 
-	f.back()
+	s.reportReachable()
 
-	for f.needsStore() && !idle.Closed(changed) {
-		changes, err := f.wait(ctx, at, changed)
+	for s.needsStore() && !idle.Closed(changed) {
+		changes, err := s.wait(ctx, at, changed)
 		if err != nil {
 			return err
 		}
@@ -153,73 +155,73 @@
 		at = max(at, changes.Revision)
 
 		if n := len(changes.Entries); n > 0 && !changes.Entries[n-1].Deleted {
-			f.offer(fromStore, document{data: changes.Entries[n-1].Value})
-			idle.Unless(ctx, settle, changed)
+			s.enqueue(fromStore, document{data: changes.Entries[n-1].Value})
+			idle.Unless(ctx, minWatchInterval, changed)
 		}
 	}
 
 	return nil
 }
 
-func (f *Feed) read(ctx context.Context) (int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+func (s *Feed) read(ctx context.Context) (int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 
-	entry, at, err := f.options.Store.Get(ctx, f.options.Key)
+	entry, at, err := s.options.Store.Get(ctx, s.options.Key)
 	if errors.Is(err, platform.ErrNotFound) {
 		return at, nil
 	}
 
 	if err == nil {
-		f.offer(fromStore, document{data: entry.Value, again: f.again})
-		f.again = false
+		s.enqueue(fromStore, document{data: entry.Value, epochChanged: s.epochChanged})
+		s.epochChanged = false
 	}
 
 	return at, err
 }
 
-// wait is one watch. Word of a newer version or epoch ends it.
-func (f *Feed) wait(ctx context.Context, at int64, changed <-chan struct{}) (store.Changes, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience+spare)
+// wait runs one watch. A signal on restartWatch or a change of the epoch ends it early.
+func (s *Feed) wait(ctx context.Context, at int64, changed <-chan struct{}) (store.Changes, error) {
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout+watchMargin)
 	defer cancel()
 
 	done := make(chan struct{})
-	hurried := make(chan bool, 1)
+	interrupted := make(chan bool, 1)
 
 	go func() {
 		select {
 		case <-done:
-			hurried <- false
-		case <-f.hurry:
+			interrupted <- false
+		case <-s.restartWatch:
 			cancel()
 
-			hurried <- true
+			interrupted <- true
 		case <-changed:
 			cancel()
 
-			hurried <- true
+			interrupted <- true
 		}
 	}()
 
-	changes, err := f.options.Store.Watch(ctx, f.options.Key, at, patience)
+	changes, err := s.options.Store.Watch(ctx, s.options.Key, at, watchTimeout)
 
 	close(done)
 
-	if <-hurried && err != nil {
-		return changes, errHurry
+	if <-interrupted && err != nil {
+		return changes, errRestartWatch
 	}
 
 	return changes, err
 }
 
-func (f *Feed) lost(err error) {
-	if f.current.Swap(false) {
-		f.options.Recorder.Record(event.PlatformLost, timeline.Entry{Version: f.options.Holder.Number(), Detail: "configuration: " + err.Error()})
+func (s *Feed) reportUnreachable(err error) {
+	if s.storeReachable.Swap(false) {
+		s.options.Recorder.Record(event.PlatformLost, timeline.Entry{Version: s.options.Holder.Number(), Detail: "configuration: " + err.Error()})
 	}
 }
 
-func (f *Feed) back() {
-	if !f.current.Swap(true) {
-		f.options.Recorder.Record(event.PlatformBack, timeline.Entry{Version: f.options.Holder.Number(), Detail: "configuration"})
+func (s *Feed) reportReachable() {
+	if !s.storeReachable.Swap(true) {
+		s.options.Recorder.Record(event.PlatformBack, timeline.Entry{Version: s.options.Holder.Number(), Detail: "configuration"})
 	}
 }
--- a/internal/configsync/peers.go
+++ b/internal/configsync/peers.go
@@ -18,47 +18,50 @@
 )
 
 const (
-	// askEvery is the pause between questions to a watcher.
-	askEvery = 500 * time.Millisecond
-	// askTime bounds a question, pushTime a push to a host with a slow link.
-	askTime  = 400 * time.Millisecond
-	pushTime = 2 * time.Second
-	// maxDocument bounds a configuration: the largest value that the store holds.
+	// pullInterval is the mean pause between pulls from a watcher.
+	pullInterval = 500 * time.Millisecond
+	// requestTimeout bounds a request to another node, pushTimeout a push to a host with a
+	// slow link.
+	requestTimeout = 400 * time.Millisecond
+	pushTimeout    = 2 * time.Second
+	// maxDocument is the maximum size of a configuration in bytes: the largest value that the
+	// store accepts.
 	maxDocument = 2 << 20
 )
 
-// errMessage is returned for a message that does not check.
-var errMessage = errs.New("feed.message", http.StatusBadRequest, "message not accepted")
+// errInvalidMessage is returned for a message that fails its Check.
+var errInvalidMessage = errs.New("feed.message", http.StatusBadRequest, "message not accepted")
 
-// have tells which version a node holds.
-type have struct {
+// versionMessage reports the active version of a node.
+type versionMessage struct {
 	Version uint64 `msgpack:"Version"`
 }
 
-// newer is a version that is newer than what was held, if there is one.
-type newer struct {
+// versionUpdate carries the active version of a node, with its document if the receiver has
+// an older one.
+type versionUpdate struct {
 	Version uint64 `msgpack:"Version"`
-	// Base is the version that Packed was made against, 0 if against none.
+	// Base is the version that Packed was compressed against, 0 if none.
 	Base   uint64 `msgpack:"Base"`
 	Packed []byte `msgpack:"Packed"`
-	// Current says that the store answers the node, so that it knows of no newer one
-	// because there is none.
+	// Current is true if the store answers the sender, so that the sender has the newest
+	// version.
 	Current bool `msgpack:"Current"`
 }
 
-// Check reports whether a decoded message can be used.
-func (n *newer) Check() error {
+// Check reports whether a decoded message is valid.
+func (n *versionUpdate) Check() error {
 	if len(n.Packed) > maxDocument {
-		return errMessage.With("document of %d bytes", len(n.Packed))
+		return errInvalidMessage.With("document of %d bytes", len(n.Packed))
 	}
 
 	return nil
 }
 
-// newer makes a message of the version in force for a node that holds the given one.
-func (f *Feed) newer(held uint64) (newer, error) {
-	version, raw := f.options.Holder.Raw()
-	base, document := f.options.Holder.Before()
+// versionUpdate returns the active version, compressed for a node that has the version held.
+func (s *Feed) versionUpdate(held uint64) (versionUpdate, error) {
+	version, raw := s.options.Holder.Raw()
+	base, document := s.options.Holder.Before()
 
 	if held != base {
 		base, document = 0, nil
@@ -66,20 +69,20 @@
 
 	packed, err := pack(document, raw)
 
-	return newer{Version: version, Base: base, Packed: packed, Current: f.current.Load()}, err
+	return versionUpdate{Version: version, Base: base, Packed: packed, Current: s.storeReachable.Load()}, err
 }
 
-// takeNewer leaves a version of another node to be decoded. One that was made against
-// a version that is not held here is asked for in full.
-func (f *Feed) takeNewer(n newer) error {
-	if n.Version <= f.options.Holder.Number() || len(n.Packed) == 0 {
+// queueUpdate queues the version of another node for decoding. It fails if the document was
+// compressed against a version that is not the active one; the caller then pulls it in full.
+func (s *Feed) queueUpdate(n versionUpdate) error {
+	if n.Version <= s.options.Holder.Number() || len(n.Packed) == 0 {
 		return nil
 	}
 
 	var base []byte
 
 	if n.Base != 0 {
-		held, raw := f.options.Holder.Raw()
+		held, raw := s.options.Holder.Raw()
 		if held != n.Base {
 			return errDelta.With("against version %d, version %d is held", n.Base, held)
 		}
@@ -92,60 +95,60 @@
 		return err
 	}
 
-	f.offer(fromPeer, document{version: n.Version, data: data})
+	s.enqueue(fromPeer, document{version: n.Version, data: data})
 
 	return nil
 }
 
-func (f *Feed) servePull(_ context.Context, in have) (newer, error) {
-	if f.options.Holder.Number() <= in.Version {
-		return newer{Version: f.options.Holder.Number(), Current: f.current.Load()}, nil
+func (s *Feed) servePull(_ context.Context, in versionMessage) (versionUpdate, error) {
+	if s.options.Holder.Number() <= in.Version {
+		return versionUpdate{Version: s.options.Holder.Number(), Current: s.storeReachable.Load()}, nil
 	}
 
-	return f.newer(in.Version)
+	return s.versionUpdate(in.Version)
 }
 
-func (f *Feed) servePush(_ context.Context, in newer) (have, error) {
+func (s *Feed) servePush(_ context.Context, in versionUpdate) (versionMessage, error) {
 	if in.Current {
-		f.informed.Store(steady())
+		s.informedAt.Store(monotonic())
 	}
 
-	if f.takeNewer(in) != nil {
-		signal(f.behind)
+	if s.queueUpdate(in) != nil {
+		signal(s.pullNow)
 	}
 
-	return have{Version: f.options.Holder.Number()}, nil
+	return versionMessage{Version: s.options.Holder.Number()}, nil
 }
 
-// ask asks a watcher of the own failure domain now and then, and one of any failure
-// domain while none of them knows what is current.
-func (f *Feed) ask(ctx context.Context) {
+// pullLoop periodically pulls from a watcher of this node's failure domain, and from a
+// watcher of any failure domain while none of these is up to date.
+func (s *Feed) pullLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-f.behind:
-		case <-time.After(askEvery/2 + rand.N(askEvery)):
+		case <-s.pullNow:
+		case <-time.After(pullInterval/2 + rand.N(pullInterval)):
 		}
 
-		if f.current.Load() && f.watches() {
+		if s.storeReachable.Load() && s.isWatcher() {
 			continue
 		}
 
-		self := f.options.Members.Self()
-		watchers := without(f.options.Members.FirstOf(self.FailureDomain, Watchers), self.ID)
+		self := s.options.Members.Self()
+		watchers := without(s.options.Members.FirstOf(self.FailureDomain, Watchers), self.ID)
 
-		if f.pullOne(ctx, watchers) || (!f.current.Load() && f.pullOne(ctx, without(f.watchersOfAll(), self.ID))) {
-			f.informed.Store(steady())
+		if s.pullFromAny(ctx, watchers) || (!s.storeReachable.Load() && s.pullFromAny(ctx, without(s.allWatchers(), self.ID))) {
+			s.informedAt.Store(monotonic())
 		}
 	}
 }
 
-// watchersOfAll returns the watchers of all failure domains.
-func (f *Feed) watchersOfAll() []membership.Record {
+// allWatchers returns the watchers of all failure domains.
+func (s *Feed) allWatchers() []membership.Record {
 	var out []membership.Record
 
-	for _, domain := range f.options.Members.Domains() {
-		out = append(out, f.options.Members.FirstOf(domain, Watchers)...)
+	for _, domain := range s.options.Members.Domains() {
+		out = append(out, s.options.Members.FirstOf(domain, Watchers)...)
 	}
 
 	return out
@@ -163,72 +166,72 @@
 	return out
 }
 
-// pullOne asks one of the nodes and reports whether it is current.
-func (f *Feed) pullOne(ctx context.Context, nodes []membership.Record) bool {
+// pullFromAny pulls from a random one of the nodes and reports whether that node is up to
+// date.
+func (s *Feed) pullFromAny(ctx context.Context, nodes []membership.Record) bool {
 	if len(nodes) == 0 {
 		return false
 	}
 
-	return f.pull(ctx, nodes[rand.IntN(len(nodes))].PeerAddress)
+	return s.pull(ctx, nodes[rand.IntN(len(nodes))].PeerAddress)
 }
 
-func (f *Feed) pull(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+func (s *Feed) pull(ctx context.Context, address string) bool {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 
-	var n newer
+	var n versionUpdate
 
-	err := f.options.Peers.Do(ctx, address, peer.LaneControl, methodPull, have{Version: f.options.Holder.Number()}, &n)
+	err := s.options.Peers.Do(ctx, address, peer.LaneControl, methodPull, versionMessage{Version: s.options.Holder.Number()}, &n)
 	if err != nil {
-		return false // another one is asked the next time
+		return false // the next pull picks another node
 	}
 
-	f.answered.Store(steady())
+	s.answeredAt.Store(monotonic())
 
-	return f.takeNewer(n) == nil && n.Current
+	return s.queueUpdate(n) == nil && n.Current
 }
 
-// push passes what comes in force to the others of the failure domain while this
-// node is a watcher.
-func (f *Feed) push(ctx context.Context) {
+// pushLoop pushes each newly activated version to the other nodes of the failure domain while
+// this node is a watcher.
+func (s *Feed) pushLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.fresh:
+		case <-s.activated:
 		}
 
-		if !f.watches() {
+		if !s.isWatcher() {
 			continue
 		}
 
-		before, _ := f.options.Holder.Before()
+		before, _ := s.options.Holder.Before()
 
-		message, err := f.newer(before)
+		message, err := s.versionUpdate(before)
 		if err != nil {
-			continue // the others ask by themselves
+			continue // the other nodes pull it
 		}
 
-		for _, r := range f.options.Members.Neighbours() {
-			go f.pushTo(ctx, r.PeerAddress, message)
+		for _, r := range s.options.Members.Neighbours() {
+			go s.pushTo(ctx, r.PeerAddress, message)
 		}
 	}
 }
 
-// pushTo sends a version to one node, unless one is on its way there already: a slow
-// link would be filled with versions that are out of date. The node asks for what it
-// has missed.
-func (f *Feed) pushTo(ctx context.Context, address string, message newer) {
-	if _, busy := f.pushing.LoadOrStore(address, true); busy {
+// pushTo pushes a version to one node, unless a push to that node is in flight: outdated
+// versions would fill a slow link. The node pulls the versions that were skipped.
+func (s *Feed) pushTo(ctx context.Context, address string, message versionUpdate) {
+	if _, busy := s.pushing.LoadOrStore(address, true); busy {
 		return
 	}
-	defer f.pushing.Delete(address)
+	defer s.pushing.Delete(address)
 
-	ctx, cancel := context.WithTimeout(ctx, pushTime)
+	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
 
-	var held have
+	var held versionMessage
 
-	// A node that holds another version than the one before asks for what it needs.
-	_ = f.options.Peers.Do(ctx, address, peer.LaneControl, methodPush, message, &held)
+	// A node whose active version is not the base pulls the document in full.
+	_ = s.options.Peers.Do(ctx, address, peer.LaneControl, methodPush, message, &held)
 }
--- a/internal/configsync/random_test.go
+++ b/internal/configsync/random_test.go
@@ -12,22 +12,23 @@
 )
 
 var (
-	firstSeed = flag.Uint64("seed", 1, "first seed of the random drills")
-	seeds     = flag.Uint64("seeds", 12, "number of seeds of the random drills")
+	firstSeed = flag.Uint64("seed", 1, "first seed of the random scenarios")
+	seeds     = flag.Uint64("seeds", 12, "number of seeds of the random scenarios")
 )
 
-// In some order of drills, versions, restarts and cuts a node goes back, or stays behind.
-func TestNoNodeGoesBackOrStaysBehindInRandomDrills(t *testing.T) {
+// Some sequences of faults, versions and restarts could make a node go back to an older version
+// or miss the newest one.
+func TestVersionsRiseAndConvergeUnderRandomFaults(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { drills(t, rand.New(rand.NewPCG(seed, seed))) })
+			synctest.Test(t, func(t *testing.T) { runScenario(t, rand.New(rand.NewPCG(seed, seed))) })
 		})
 	}
 }
 
-// drill is a fleet, and the versions that its nodes were seen at.
-type drill struct {
-	*world
+// scenario is a simulation and the highest version seen at each process.
+type scenario struct {
+	*simulation
 
 	random  *rand.Rand
 	newest  int64
@@ -35,93 +36,94 @@
 	highest map[*node]uint64
 }
 
-// drills plays some steps on a fleet, and after some of them looks whether all have the newest.
-func drills(t *testing.T, random *rand.Rand) {
+// runScenario applies random steps and checks the versions of all nodes after each one.
+func runScenario(t *testing.T, random *rand.Rand) {
 	t.Helper()
 
 	const steps = 40
 
-	d := &drill{world: newWorldIn(t, 3, 12), random: random, highest: map[*node]uint64{}}
+	d := &scenario{simulation: newSimulationIn(t, 3, 12), random: random, highest: map[*node]uint64{}}
 	d.gossip(t, rand.New(rand.NewPCG(random.Uint64(), 1)))
-	d.operate()
-	d.within(t, 1, 2*time.Second)
+	d.writeNext()
+	d.awaitVersion(t, 1, 2*time.Second)
 
 	for range steps {
 		d.step(t)
-		d.look(t)
+		d.checkVersions(t)
 	}
 
-	d.settle(t)
+	d.converge(t)
 }
 
-func (d *drill) step(t *testing.T) {
+func (d *scenario) step(t *testing.T) {
 	t.Helper()
 
 	switch d.random.IntN(10) {
 	case 0, 1:
-		d.operate()
+		d.writeNext()
 	case 2:
-		d.others(d.copied().revision + d.random.Int64N(9))
+		d.writeOtherKeys(d.snapshot().revision + d.random.Int64N(9))
 	case 3:
-		d.older = d.copied()
+		d.older = d.snapshot()
 	case 4:
-		d.back(d.older)
+		d.restore(d.older)
 	case 5:
 		d.replace(t, d.any())
 	case 6:
 		id := d.any()
-		d.set(func() { d.cut[id] = !d.cut[id] })
+		d.locked(func() { d.isolated[id] = !d.isolated[id] })
 	case 7:
 		id := d.any()
-		d.set(func() { d.turned[id] = !d.turned[id] })
+		d.locked(func() { d.rejected[id] = !d.rejected[id] })
 	case 8:
 		time.Sleep(time.Duration(d.random.IntN(3000)) * time.Millisecond)
 	case 9:
-		d.settle(t)
+		d.converge(t)
 	}
 }
 
-func (d *drill) any() string { return d.records[d.random.IntN(len(d.records))].ID }
+func (d *scenario) any() string { return d.records[d.random.IntN(len(d.records))].ID }
 
-// operate is the operator's next version.
-func (d *drill) operate() {
+// writeNext writes the operator's next version.
+func (d *scenario) writeNext() {
 	d.newest++
 	d.write(d.newest)
 }
 
-// settle ends cuts, and has the operator write what the store lost, or go on.
-func (d *drill) settle(t *testing.T) {
+// converge ends all faults, in half of the cases restores the store from an older copy, and
+// requires that all nodes get the operator's newest version.
+func (d *scenario) converge(t *testing.T) {
 	t.Helper()
 
-	d.set(func() {
-		clear(d.cut)
-		clear(d.turned)
+	d.locked(func() {
+		clear(d.isolated)
+		clear(d.rejected)
 	})
-	time.Sleep(4 * time.Second) // pauses after errors, and gossip of the epoch
+	time.Sleep(4 * time.Second) // backoff after errors, and gossip of the epoch
 	bound := 2 * time.Second
 
 	if d.random.IntN(2) == 0 {
-		bound += 2 * time.Second // until a look has found the epoch, and gossip told of it
+		bound += 2 * time.Second // a revision check finds the epoch, and gossip spreads it
 
-		older := d.copied()
+		older := d.snapshot()
 
-		d.others(d.copied().revision + 9)
-		d.operate()
-		time.Sleep(8 * time.Second) // all have looked
+		d.writeOtherKeys(d.snapshot().revision + 9)
+		d.writeNext()
+		time.Sleep(8 * time.Second) // all watchers have checked the revision
 
-		last := d.copied().revision
-		d.back(older)
-		d.operate()
-		d.others(last)
+		last := d.snapshot().revision
+		d.restore(older)
+		d.writeNext()
+		d.writeOtherKeys(last)
 	} else {
-		d.operate()
+		d.writeNext()
 	}
 
-	d.within(t, uint64(d.newest), bound)
+	d.awaitVersion(t, uint64(d.newest), bound)
 }
 
-// look has no process be at an older version than before.
-func (d *drill) look(t *testing.T) {
+// checkVersions requires that no process has an older version than before.
+func (d *scenario) checkVersions(t *testing.T) {
 	t.Helper()
 
 	for _, r := range d.records {
--- a/internal/configsync/store_test.go
+++ b/internal/configsync/store_test.go
@@ -9,10 +9,10 @@
 	"github.com/pollencart/pollencart/internal/store"
 )
 
-// contents are what the store holds, and the number of its epoch.
+// contents is the state of the store.
 type contents struct {
 	version, written, revision int64
-	number                     uint64
+	epochNumber                uint64
 }
 
 func (c contents) value() []byte { return []byte(strconv.FormatInt(c.version, 10)) }
@@ -21,45 +21,49 @@
 	return store.Changes{Revision: c.revision, Entries: []store.Change{{Entry: platform.Entry{Value: c.value(), Revision: c.written}}}}
 }
 
-// contents is called with the lock held.
-func (w *world) contents() contents { return contents{w.version, w.written, w.revision, w.number} }
+// contents returns the state of the store; sim.mu is held.
+func (sim *simulation) contents() contents {
+	return contents{sim.version, sim.written, sim.revision, sim.epochNumber}
+}
 
-// copied returns what the store holds now.
-func (w *world) copied() (c contents) {
-	w.set(func() { c = w.contents() })
+// snapshot returns the state of the store.
+func (sim *simulation) snapshot() (c contents) {
+	sim.locked(func() { c = sim.contents() })
 
 	return c
 }
 
-// back has the store come back from an older copy. Watches that wait go on waiting.
-func (w *world) back(c contents) {
-	w.set(func() {
-		w.version, w.written, w.revision = c.version, c.written, c.revision
-		w.number++
+// restore replaces the state of the store by an older copy. Open watches stay open.
+func (sim *simulation) restore(c contents) {
+	sim.locked(func() {
+		sim.version, sim.written, sim.revision = c.version, c.written, c.revision
+		sim.epochNumber++
 	})
 }
 
-// others writes other keys, as many as it takes to get to a revision.
-func (w *world) others(revision int64) { w.set(func() { w.revision = max(w.revision, revision) }) }
+// writeOtherKeys writes unrelated keys until the store reaches the revision.
+func (sim *simulation) writeOtherKeys(revision int64) {
+	sim.locked(func() { sim.revision = max(sim.revision, revision) })
+}
 
 func (n *node) isSilent() bool {
-	n.world.mu.Lock()
-	defer n.world.mu.Unlock()
+	n.simulation.mu.Lock()
+	defer n.simulation.mu.Unlock()
 
-	return n.world.silent[n.id]
+	return n.simulation.silent[n.id]
 }
 
-func (n *node) isTurned() bool {
-	n.world.mu.Lock()
-	defer n.world.mu.Unlock()
+func (n *node) isRejected() bool {
+	n.simulation.mu.Lock()
+	defer n.simulation.mu.Unlock()
 
-	return n.world.turned[n.id]
+	return n.simulation.rejected[n.id]
 }
 
-// call is one call to the store, which tells the epoch with its answer.
+// call simulates a call to the store, whose answer carries the epoch.
 func (n *node) call(ctx context.Context) (contents, error) {
-	n.world.set(func() {
-		n.world.calls++
+	n.simulation.locked(func() {
+		n.simulation.calls++
 		n.calls++
 	})
 
@@ -69,19 +73,19 @@
 		return contents{}, ctx.Err()
 	}
 
-	n.world.mu.Lock()
-	defer n.world.mu.Unlock()
+	n.simulation.mu.Lock()
+	defer n.simulation.mu.Unlock()
 
-	if n.world.turned[n.id] {
+	if n.simulation.rejected[n.id] {
 		return contents{}, platform.ErrUnavailable
 	}
 
-	return n.world.contents(), n.heard(n.world.number)
+	return n.simulation.contents(), n.observeEpoch(n.simulation.epochNumber)
 }
 
-// heard takes the epoch of an answer.
-func (n *node) heard(number uint64) error {
-	if !n.epoch.Observe(number) {
+// observeEpoch handles the epoch of an answer.
+func (n *node) observeEpoch(epochNumber uint64) error {
+	if !n.epoch.Observe(epochNumber) {
 		return platform.ErrUnknown
 	}
 
@@ -92,9 +96,9 @@
 	c, err := n.call(ctx)
 	time.Sleep(4 * time.Millisecond)
 
-	n.world.set(func() {
-		if n.unread > 0 && err == nil {
-			n.unread--
+	n.simulation.locked(func() {
+		if n.failingReads > 0 && err == nil {
+			n.failingReads--
 			err = platform.ErrUnavailable
 		}
 	})
@@ -108,12 +112,12 @@
 
 func (n *node) Revision(ctx context.Context) (int64, error) {
 	c, err := n.call(ctx)
-	n.world.set(func() { n.looked = time.Now() })
+	n.simulation.locked(func() { n.checkedAt = time.Now() })
 
 	return c.revision, err
 }
 
-func (n *node) Watch(ctx context.Context, _ string, after int64, patience time.Duration) (store.Changes, error) {
+func (n *node) Watch(ctx context.Context, _ string, after int64, timeout time.Duration) (store.Changes, error) {
 	c, err := n.call(ctx)
 	if err != nil {
 		return store.Changes{}, err
@@ -123,18 +127,18 @@
 		return store.Changes{}, store.ErrCompacted
 	}
 
-	n.world.set(func() { n.world.watchers++ })
-	defer n.world.set(func() { n.world.watchers-- })
+	n.simulation.locked(func() { n.simulation.watchers++ })
+	defer n.simulation.locked(func() { n.simulation.watchers-- })
 
-	end := time.After(patience)
+	end := time.After(timeout)
 
 	for {
-		n.world.mu.Lock()
-		c, changed, deaf := n.world.contents(), n.world.changed, n.world.deaf
-		n.world.mu.Unlock()
+		n.simulation.mu.Lock()
+		c, changed, watchesSilent := n.simulation.contents(), n.simulation.changed, n.simulation.watchesSilent
+		n.simulation.mu.Unlock()
 
-		if c.written > after && !deaf {
-			return c.changes(), n.heard(c.number)
+		if c.written > after && !watchesSilent {
+			return c.changes(), n.observeEpoch(c.epochNumber)
 		}
 
 		select {
@@ -150,7 +154,7 @@
 			<-ctx.Done()
 
 			return store.Changes{}, ctx.Err()
-		case n.isTurned():
+		case n.isRejected():
 			return store.Changes{}, platform.ErrUnknown
 		}
 	}
--- a/internal/configsync/tell.go
+++ b/internal/configsync/tell.go
@@ -10,161 +10,161 @@
 	"github.com/pollencart/pollencart/internal/peer"
 )
 
-// Methods by which nodes tell each other that there is a newer version.
+// Methods that announce a newer version to other nodes.
 const (
-	methodTell = "Feed.Tell"
-	methodHint = "Feed.Hint"
+	methodNotify = "Feed.Tell"
+	methodHint   = "Feed.Hint"
 )
 
 const (
-	// usualDelay is within what a version comes to a node that nothing is wrong with.
-	usualDelay = 600 * time.Millisecond
-	// tellPatience is within what a version comes from the store to a watcher that
-	// nothing is wrong with: all watchers are answered in the same moment, and the
-	// slowest hosts take a tenth of a second to decode the largest configuration.
-	tellPatience = 200 * time.Millisecond
+	// gossipGrace is the time within which a version reaches a healthy node.
+	gossipGrace = 600 * time.Millisecond
+	// noticeGrace is the time within which a version reaches a healthy watcher from the store.
+	// All watches are answered at the same moment, and the slowest hosts take a tenth of a
+	// second to decode the largest configuration.
+	noticeGrace = 200 * time.Millisecond
 )
 
-// told is a version that a node has from the store.
-type told struct {
+// notice announces a version that the sender got from the store.
+type notice struct {
 	Version uint64 `msgpack:"Version"`
 	Address string `msgpack:"Address"`
 }
 
-// Check reports whether a decoded message can be used.
-func (t *told) Check() error {
+// Check reports whether a decoded message is valid.
+func (t *notice) Check() error {
 	if t.Version == 0 || t.Address == "" {
-		return errMessage.With("Version or Address is missing")
+		return errInvalidMessage.With("Version or Address is missing")
 	}
 
 	return nil
 }
 
-// tell lets one watcher of each other failure domain know of a version that came from
+// notifyDomains notifies one watcher of each other failure domain of a version that came from
 // the store.
 //
-// The store may answer no node of a failure domain, without an error that anyone
-// there would see: their watches wait on. The version that is in force elsewhere is
-// then missing in the whole failure domain until the watches are found out, later
-// than a version has to be in force. Word of the others brings it within half a second.
-func (f *Feed) tell(ctx context.Context, version uint64) {
-	self := f.options.Members.Self()
-	message := told{Version: version, Address: self.PeerAddress}
-	own := f.options.Members.FirstOf(self.FailureDomain, Watchers)
-	place := slices.IndexFunc(own, func(r membership.Record) bool { return r.ID == self.ID })
-
-	if place < 0 {
-		// The watchers of this failure domain are turned away by the store.
-		for _, r := range own {
-			go f.tellTo(ctx, r.PeerAddress, message)
+// The store may stop answering all nodes of a failure domain while their watches stay open
+// without an error. A new version would reach that failure domain only after the dead watches
+// are detected, which takes longer than a version may take to become active. With the notice
+// it arrives within half a second.
+func (s *Feed) notifyDomains(ctx context.Context, version uint64) {
+	self := s.options.Members.Self()
+	message := notice{Version: version, Address: self.PeerAddress}
+	ownWatchers := s.options.Members.FirstOf(self.FailureDomain, Watchers)
+	index := slices.IndexFunc(ownWatchers, func(r membership.Record) bool { return r.ID == self.ID })
+
+	if index < 0 {
+		// The store rejects the watchers of this failure domain, so that this node notifies them.
+		for _, r := range ownWatchers {
+			go s.sendNotice(ctx, r.PeerAddress, message)
 		}
 	}
 
-	for _, domain := range f.options.Members.Domains() {
-		watchers := f.options.Members.FirstOf(domain, Watchers)
+	for _, domain := range s.options.Members.Domains() {
+		watchers := s.options.Members.FirstOf(domain, Watchers)
 		if domain != self.FailureDomain && len(watchers) > 0 {
-			go f.tellTo(ctx, watchers[max(place, 0)%len(watchers)].PeerAddress, message)
+			go s.sendNotice(ctx, watchers[max(index, 0)%len(watchers)].PeerAddress, message)
 		}
 	}
 }
 
-func (f *Feed) tellTo(ctx context.Context, address string, message told) {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+func (s *Feed) sendNotice(ctx context.Context, address string, message notice) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 
-	var held have
+	var held versionMessage
 
-	// A watcher that does not hear it is told by those of other failure domains.
-	_ = f.options.Peers.Do(ctx, address, peer.LaneControl, methodTell, message, &held)
+	// A watcher that misses this notice gets one from another failure domain.
+	_ = s.options.Peers.Do(ctx, address, peer.LaneControl, methodNotify, message, &held)
 }
 
-// serveTell takes word of a version. Mostly the own watch brings it in the same
-// moment; if it does not, it is fetched from the node that has it.
-func (f *Feed) serveTell(_ context.Context, in told) (have, error) {
-	f.informed.Store(steady())
+// serveNotify handles a notice of a version. Usually this node's own watch returns the version
+// at the same moment; otherwise fetchNoticed pulls it from the sender.
+func (s *Feed) serveNotify(_ context.Context, in notice) (versionMessage, error) {
+	s.informedAt.Store(monotonic())
 
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	if in.Version > max(f.newest.Version, f.options.Holder.Number()) {
-		f.newest = in
-		signal(f.toldOf)
+	if in.Version > max(s.newest.Version, s.options.Holder.Number()) {
+		s.newest = in
+		signal(s.noticed)
 	}
 
-	return have{Version: f.options.Holder.Number()}, nil
+	return versionMessage{Version: s.options.Holder.Number()}, nil
 }
 
-// fetchTold fetches versions that were told of and do not come.
-func (f *Feed) fetchTold(ctx context.Context) {
+// fetchNoticed pulls noticed versions that do not arrive within noticeGrace.
+func (s *Feed) fetchNoticed(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.toldOf:
+		case <-s.noticed:
 		}
 
-		idle.For(ctx, tellPatience)
+		idle.For(ctx, noticeGrace)
 
-		f.mu.Lock()
-		newest := f.newest
-		f.mu.Unlock()
+		s.mu.Lock()
+		newest := s.newest
+		s.mu.Unlock()
 
-		if newest.Version > f.options.Holder.Number() {
-			f.overtaken(ctx, newest.Address)
+		if newest.Version > s.options.Holder.Number() {
+			s.pullMissed(ctx, newest.Address)
 		}
 	}
 }
 
-// serveHint takes word of a version that this node's watch may have missed.
-func (f *Feed) serveHint(_ context.Context, in have) (have, error) {
-	if in.Version > f.options.Holder.Number() {
-		signal(f.hurry)
+// serveHint handles a hint that this node's watch may have missed a version.
+func (s *Feed) serveHint(_ context.Context, in versionMessage) (versionMessage, error) {
+	if in.Version > s.options.Holder.Number() {
+		signal(s.restartWatch)
 	}
 
-	return have{Version: f.options.Holder.Number()}, nil
+	return versionMessage{Version: s.options.Holder.Number()}, nil
 }
 
-// Hear takes word by gossip that a node holds a version. Mostly it is on its way
-// here already, from the store or a watcher; only if it does not come is it fetched,
-// across failure domains if need be.
-func (f *Feed) Hear(ctx context.Context, address string, version uint64) {
-	if version <= f.options.Holder.Number() || f.late.Swap(true) {
+// Hear handles gossip that the node at address has a version. Usually the version is about to
+// arrive from the store or a watcher. Only if it does not arrive in time is it pulled, if
+// necessary from another failure domain.
+func (s *Feed) Hear(ctx context.Context, address string, version uint64) {
+	if version <= s.options.Holder.Number() || s.awaitingVersion.Swap(true) {
 		return
 	}
-	defer f.late.Store(false)
+	defer s.awaitingVersion.Store(false)
 
-	idle.For(ctx, usualDelay)
+	idle.For(ctx, gossipGrace)
 
 	switch {
-	case version <= f.options.Holder.Number():
-	case f.current.Load():
-		f.overtaken(ctx, address)
-	case steady()-f.informed.Load() > int64(uninformed):
-		f.pull(ctx, address)
+	case version <= s.options.Holder.Number():
+	case s.storeReachable.Load():
+		s.pullMissed(ctx, address)
+	case monotonic()-s.informedAt.Load() > int64(informedTimeout):
+		s.pull(ctx, address)
 	}
 }
 
-// overtaken fetches a version that another node has and this node's watch did not
-// bring, and has the watch made anew.
-func (f *Feed) overtaken(ctx context.Context, address string) {
-	signal(f.hurry)
-	f.pull(ctx, address)
+// pullMissed restarts the watch, which did not return a version that another node has, and
+// pulls that version.
+func (s *Feed) pullMissed(ctx context.Context, address string) {
+	signal(s.restartWatch)
+	s.pull(ctx, address)
 }
 
-// hint tells the watchers of all failure domains that their watch may have missed a
+// hint notifies the watchers of all failure domains that their watch may have missed a
 // version.
-func (f *Feed) hint(ctx context.Context) {
-	for _, r := range without(f.watchersOfAll(), f.options.Members.Self().ID) {
-		go f.hintTo(ctx, r.PeerAddress)
+func (s *Feed) hint(ctx context.Context) {
+	for _, r := range without(s.allWatchers(), s.options.Members.Self().ID) {
+		go s.sendHint(ctx, r.PeerAddress)
 	}
 }
 
-func (f *Feed) hintTo(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+func (s *Feed) sendHint(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 
-	var held have
+	var held versionMessage
 
-	// A watcher that does not hear finds out by its own look at the store.
-	_ = f.options.Peers.Do(ctx, address, peer.LaneControl, methodHint, have{Version: f.options.Holder.Number()}, &held)
+	// A watcher that misses the hint finds the change when it polls the revision.
+	_ = s.options.Peers.Do(ctx, address, peer.LaneControl, methodHint, versionMessage{Version: s.options.Holder.Number()}, &held)
 }
--- a/internal/configsync/world_test.go
+++ b/internal/configsync/world_test.go
@@ -16,73 +16,72 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// storeKey is where the configuration lies.
 const storeKey = "configuration"
 
-// world is a store and nodes, in one failure domain or in several.
-type world struct {
-	domains  int
-	mu       sync.Mutex
-	version  int64
-	written  int64 // the revision at which the version was written
-	revision int64
-	number   uint64 // of the store's epoch
-	changed  chan struct{}
-	deaf     bool            // watches hear nothing
-	turned   map[string]bool // nodes that the store turns away
-	silent   map[string]bool // nodes that the store does not answer any more
-	calls    int
-	watchers int // open watches
-	nodes    map[string]*node
-	records  []membership.Record
-	cut      map[string]bool // nodes that others can't reach
-	hung     map[string]bool // nodes that take connections and never answer
+// simulation is a store and nodes in one or more failure domains.
+type simulation struct {
+	domains       int
+	mu            sync.Mutex
+	version       int64
+	written       int64 // the revision at which the version was written
+	revision      int64
+	epochNumber   uint64 // epoch of the store
+	changed       chan struct{}
+	watchesSilent bool            // watches return no changes
+	rejected      map[string]bool // nodes that the store rejects
+	silent        map[string]bool // nodes that the store no longer answers
+	calls         int
+	watchers      int // open watches
+	nodes         map[string]*node
+	records       []membership.Record
+	isolated      map[string]bool // nodes that can't communicate with other nodes
+	hung          map[string]bool // nodes that accept connections and never answer
 }
 
 type node struct {
-	id     string
-	world  *world
-	holder *route.Holder
-	epoch  *epoch.Current
-	told   *timeline.Recorder
-	feed   *Feed
-	stop   context.CancelFunc
-	calls  int // to the store
-	looked time.Time
-	unread int // reads that fail from now on
+	id           string
+	simulation   *simulation
+	holder       *route.Holder
+	epoch        *epoch.Current
+	reported     *timeline.Recorder
+	syncer       *Feed
+	stop         context.CancelFunc
+	calls        int // to the store
+	checkedAt    time.Time
+	failingReads int // number of next reads that fail
 }
 
-func newWorld(t *testing.T, count int) *world {
+func newSimulation(t *testing.T, count int) *simulation {
 	t.Helper()
 
-	return newWorldIn(t, 1, count)
+	return newSimulationIn(t, 1, count)
 }
 
-func newWorldIn(t *testing.T, domains, count int, opts ...func(*Options)) *world {
+func newSimulationIn(t *testing.T, domains, count int, opts ...func(*Options)) *simulation {
 	t.Helper()
 
-	w := &world{
-		domains: domains, number: 1, changed: make(chan struct{}), turned: map[string]bool{}, silent: map[string]bool{}, cut: map[string]bool{},
-		hung: map[string]bool{}, nodes: map[string]*node{},
+	sim := &simulation{
+		domains: domains, epochNumber: 1, changed: make(chan struct{}), rejected: map[string]bool{}, silent: map[string]bool{},
+		isolated: map[string]bool{}, hung: map[string]bool{}, nodes: map[string]*node{},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 
 	var wg sync.WaitGroup
 
 	for i := range count {
-		w.records = append(w.records, w.record(i))
+		sim.records = append(sim.records, sim.record(i))
 	}
 
 	for i := range count {
-		n := w.again("n"+strconv.Itoa(i), opts...)
-		w.nodes[n.id] = n
+		n := sim.newNode("n"+strconv.Itoa(i), opts...)
+		sim.nodes[n.id] = n
 	}
 
-	for _, n := range w.nodes {
-		life, stop := context.WithCancel(ctx)
+	for _, n := range sim.nodes {
+		nodeCtx, stop := context.WithCancel(ctx)
 		n.stop = stop
 
-		wg.Go(func() { n.feed.Run(life) })
+		wg.Go(func() { n.syncer.Run(nodeCtx) })
 	}
 
 	t.Cleanup(func() {
@@ -90,33 +89,33 @@
 		wg.Wait()
 	})
 
-	return w
+	return sim
 }
 
-// again returns another life of a node, which does not run yet.
-func (w *world) again(id string, opts ...func(*Options)) *node {
-	n := &node{id: id, world: w, holder: &route.Holder{}, epoch: epoch.New(), told: timeline.New()}
+// newNode returns a new process of a node, which is not running yet.
+func (sim *simulation) newNode(id string, opts ...func(*Options)) *node {
+	n := &node{id: id, simulation: sim, holder: &route.Holder{}, epoch: epoch.New(), reported: timeline.New()}
 
-	o := Options{Key: storeKey, Decode: decode, Store: n, Holder: n.holder, Peers: n, Members: n, Recorder: n.told, Epoch: n.epoch}
+	o := Options{Key: storeKey, Decode: decode, Store: n, Holder: n.holder, Peers: n, Members: n, Recorder: n.reported, Epoch: n.epoch}
 	for _, opt := range opts {
 		opt(&o)
 	}
 
-	n.feed = New(o)
+	n.syncer = New(o)
 
 	return n
 }
 
-// restart runs another life of a node until stop is called, which waits for its end.
-func (w *world) restart(id string) (n *node, stop func()) {
-	n = w.again(id)
+// restart runs a new process of a node. The function stop ends it and waits for its end.
+func (sim *simulation) restart(id string) (n *node, stop func()) {
+	n = sim.newNode(id)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 
 	go func() {
 		defer close(ended)
 
-		n.feed.Run(ctx)
+		n.syncer.Run(ctx)
 	}()
 
 	return n, func() {
@@ -134,54 +133,54 @@
 	return route.New(version, route.Limits{}, nil, nil)
 }
 
-// write is the operator's change.
-func (w *world) write(version int64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// write stores the operator's next version.
+func (sim *simulation) write(version int64) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 
-	w.revision++
-	w.version, w.written = version, w.revision
+	sim.revision++
+	sim.version, sim.written = version, sim.revision
 
-	if !w.deaf {
-		close(w.changed)
-		w.changed = make(chan struct{})
+	if !sim.watchesSilent {
+		close(sim.changed)
+		sim.changed = make(chan struct{})
 	}
 }
 
-func (w *world) set(f func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (sim *simulation) locked(f func()) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 
 	f()
 }
 
-func (w *world) node(id string) (n *node) {
-	w.set(func() { n = w.nodes[id] })
+func (sim *simulation) node(id string) (n *node) {
+	sim.locked(func() { n = sim.nodes[id] })
 
 	return n
 }
 
-// lowest returns the lowest version in force.
-func (w *world) lowest() uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// lowestVersion returns the lowest version that is active on a node.
+func (sim *simulation) lowestVersion() uint64 {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 
 	out := uint64(1 << 60)
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		out = min(out, n.holder.Number())
 	}
 
 	return out
 }
 
-// within waits until all nodes have the version, and fails after the time.
-func (w *world) within(t *testing.T, version uint64, bound time.Duration) {
+// awaitVersion waits until the version is active on all nodes, and fails after the bound.
+func (sim *simulation) awaitVersion(t *testing.T, version uint64, bound time.Duration) {
 	t.Helper()
 
 	start := time.Now()
-	for w.lowest() < version {
+	for sim.lowestVersion() < version {
 		if time.Since(start) > bound {
-			t.Fatalf("version %d is not in force everywhere after %s", version, bound)
+			t.Fatalf("version %d is not active on all nodes after %s", version, bound)
 		}
 
 		time.Sleep(10 * time.Millisecond)
@@ -191,28 +190,28 @@
 func (n *node) Neighbours() []membership.Record {
 	self := n.Self()
 
-	return slices.DeleteFunc(slices.Clone(n.world.records), func(r membership.Record) bool {
+	return slices.DeleteFunc(slices.Clone(n.simulation.records), func(r membership.Record) bool {
 		return r.ID == self.ID || r.FailureDomain != self.FailureDomain
 	})
 }
 
 func (n *node) Domains() []string {
 	var out []string
-	for i := range n.world.domains {
+	for i := range n.simulation.domains {
 		out = append(out, "d"+strconv.Itoa(i))
 	}
 
 	return out
 }
 
-func (w *world) record(i int) membership.Record {
+func (sim *simulation) record(i int) membership.Record {
 	id := "n" + strconv.Itoa(i)
 
-	return membership.Record{ID: id, PeerAddress: id, FailureDomain: "d" + strconv.Itoa(i%w.domains)}
+	return membership.Record{ID: id, PeerAddress: id, FailureDomain: "d" + strconv.Itoa(i%sim.domains)}
 }
 
 func (n *node) Self() membership.Record {
-	for _, r := range n.world.records {
+	for _, r := range n.simulation.records {
 		if r.ID == n.id {
 			return r
 		}
@@ -224,7 +223,7 @@
 func (n *node) FirstOf(domain string, count int) []membership.Record {
 	var out []membership.Record
 
-	for _, r := range n.world.records {
+	for _, r := range n.simulation.records {
 		if r.FailureDomain == domain && len(out) < count {
 			out = append(out, r)
 		}
@@ -240,9 +239,9 @@
 func (n *node) Do(ctx context.Context, address string, _ peer.Lane, method string, in, out any) error {
 	time.Sleep(time.Millisecond)
 
-	n.world.mu.Lock()
-	cut, hung := n.world.cut[address] || n.world.cut[n.id], n.world.hung[address]
-	n.world.mu.Unlock()
+	n.simulation.mu.Lock()
+	isolated, hung := n.simulation.isolated[address] || n.simulation.isolated[n.id], n.simulation.hung[address]
+	n.simulation.mu.Unlock()
 
 	if hung {
 		<-ctx.Done()
@@ -250,23 +249,23 @@
 		return peer.ErrBroken
 	}
 
-	if cut {
+	if isolated {
 		return peer.ErrUnreachable
 	}
 
-	f := n.world.node(address).feed
+	s := n.simulation.node(address).syncer
 
 	var err error
 
 	switch method {
 	case methodPull:
-		*out.(*newer), err = f.servePull(ctx, in.(have))
+		*out.(*versionUpdate), err = s.servePull(ctx, in.(versionMessage))
 	case methodPush:
-		*out.(*have), err = f.servePush(ctx, in.(newer))
-	case methodTell:
-		*out.(*have), err = f.serveTell(ctx, in.(told))
+		*out.(*versionMessage), err = s.servePush(ctx, in.(versionUpdate))
+	case methodNotify:
+		*out.(*versionMessage), err = s.serveNotify(ctx, in.(notice))
 	case methodHint:
-		*out.(*have), err = f.serveHint(ctx, in.(have))
+		*out.(*versionMessage), err = s.serveHint(ctx, in.(versionMessage))
 	}
 
 	return err
