--- a/internal/configsync/check.go
+++ b/internal/configsync/check.go
@@ -18,7 +18,7 @@
 
 // pollRevision compares the store's revision with the one seen last, to find changes that
 // the watch has missed.
-func (s *Feed) pollRevision(ctx context.Context) {
+func (s *Syncer) pollRevision(ctx context.Context) {
 	var lastRevision int64 // valid until lastChanged is closed
 
 	lastChanged := s.options.Epoch.Changed()
@@ -60,7 +60,7 @@
 	}
 }
 
-func (s *Feed) revision(ctx context.Context) (int64, error) {
+func (s *Syncer) revision(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 
@@ -68,7 +68,7 @@
 }
 
 // readMissed reads the configuration and activates it if it is newer.
-func (s *Feed) readMissed(ctx context.Context) error {
+func (s *Syncer) readMissed(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 
--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -94,8 +94,8 @@
 	Epoch *epoch.Current
 }
 
-// Feed keeps the configuration of this node up to date.
-type Feed struct {
+// Syncer keeps the configuration of this node up to date.
+type Syncer struct {
 	options Options
 
 	storeReachable  atomic.Bool   // the store answers this node
@@ -133,19 +133,19 @@
 }
 
 // New returns a syncer that is not running yet.
-func New(o Options) *Feed {
+func New(o Options) *Syncer {
 	if o.Epoch == nil {
 		o.Epoch = epoch.New()
 	}
 
-	return &Feed{
+	return &Syncer{
 		options: o, restartWatch: make(chan struct{}, 1), activated: make(chan struct{}, 1), pullNow: make(chan struct{}, 1),
 		queued: make(chan struct{}, 1), noticed: make(chan struct{}, 1), pending: map[source]document{},
 	}
 }
 
 // Register adds the handlers of the methods that other nodes call.
-func (s *Feed) Register(server *peer.Server) {
+func (s *Syncer) Register(server *peer.Server) {
 	server.Handle(methodPull, peer.Typed(s.servePull))
 	server.Handle(methodPush, peer.Typed(s.servePush))
 	server.Handle(methodNotify, peer.Typed(s.serveNotify))
@@ -153,7 +153,7 @@
 }
 
 // Run keeps the configuration up to date until ctx ends.
-func (s *Feed) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 
 	for _, loop := range []func(context.Context){s.follow, s.pollRevision, s.pullLoop, s.pushLoop, s.decodeLoop, s.fetchNoticed} {
@@ -164,11 +164,11 @@
 }
 
 // isWatcher reports whether this node is a watcher of its failure domain.
-func (s *Feed) isWatcher() bool { return s.isAmongFirst(Watchers) }
+func (s *Syncer) isWatcher() bool { return s.isAmongFirst(Watchers) }
 
 // isAmongFirst reports whether this node is among the first count nodes of its failure
 // domain.
-func (s *Feed) isAmongFirst(count int) bool {
+func (s *Syncer) isAmongFirst(count int) bool {
 	self := s.options.Members.Self()
 
 	return s.options.Members.Chosen(self.ID, self.FailureDomain, count)
@@ -176,7 +176,7 @@
 
 // enqueue queues a document for decoding. It replaces an older pending document from the
 // same source.
-func (s *Feed) enqueue(from source, d document) {
+func (s *Syncer) enqueue(from source, d document) {
 	if d.version != 0 && d.version <= s.options.Holder.Number() {
 		return
 	}
@@ -199,7 +199,7 @@
 	}
 }
 
-func (s *Feed) decodeLoop(ctx context.Context) {
+func (s *Syncer) decodeLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -213,7 +213,7 @@
 	}
 }
 
-func (s *Feed) takePending() map[source]document {
+func (s *Syncer) takePending() map[source]document {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -223,7 +223,7 @@
 	return out
 }
 
-func (s *Feed) apply(ctx context.Context, from source, d document) {
+func (s *Syncer) apply(ctx context.Context, from source, d document) {
 	if d.version != 0 && d.version <= s.options.Holder.Number() {
 		return
 	}
--- a/internal/configsync/first.go
+++ b/internal/configsync/first.go
@@ -30,7 +30,7 @@
 // a second on a link of 5 Mbit/s; another node sends it compressed, 19 times smaller. Only a
 // node that the store answers is accepted as source, so that this node does not start with an
 // outdated version.
-func (s *Feed) pullFirst(ctx context.Context) {
+func (s *Syncer) pullFirst(ctx context.Context) {
 	if s.options.FirstStart {
 		idle.For(ctx, joinDelay)
 
@@ -73,7 +73,7 @@
 
 // pullFirstFrom pulls the first version from one node while other pulls are in flight: a single
 // pull from a host without power, which never answers, would use up firstPullTimeout.
-func (s *Feed) pullFirstFrom(ctx context.Context, address string, state *firstPull) {
+func (s *Syncer) pullFirstFrom(ctx context.Context, address string, state *firstPull) {
 	if _, busy := state.inFlight.LoadOrStore(address, true); busy || state.succeeded.Load() {
 		return
 	}
@@ -86,14 +86,14 @@
 
 // watchersNearestFirst returns the watchers of all failure domains, those of this node's
 // failure domain first.
-func (s *Feed) watchersNearestFirst() []membership.Record {
+func (s *Syncer) watchersNearestFirst() []membership.Record {
 	self := s.options.Members.Self()
 
 	return append(s.options.Members.FirstOf(self.FailureDomain, Watchers), s.allWatchers()...)
 }
 
 // awaitFirstVersion waits until the pulled version is decoded.
-func (s *Feed) awaitFirstVersion(ctx context.Context) {
+func (s *Syncer) awaitFirstVersion(ctx context.Context) {
 	for start := time.Now(); ctx.Err() == nil && s.options.Holder.Number() == 0 && time.Since(start) < firstPullTimeout; {
 		idle.For(ctx, firstPullInterval)
 	}
--- a/internal/configsync/follow.go
+++ b/internal/configsync/follow.go
@@ -48,7 +48,7 @@
 )
 
 // needsStore reports whether this node has to read the store itself.
-func (s *Feed) needsStore() bool {
+func (s *Syncer) needsStore() bool {
 	if s.isWatcher() {
 		return true
 	}
@@ -77,7 +77,7 @@
 // backoffAfterError returns the first pause after a failed store call. A node that stands in
 // for watchers without answers retries rarely: during an outage every call fails and still
 // has to be paid for.
-func (s *Feed) backoffAfterError() time.Duration {
+func (s *Syncer) backoffAfterError() time.Duration {
 	if s.isWatcher() || s.options.Holder.Number() == 0 {
 		return minBackoff
 	}
@@ -86,7 +86,7 @@
 }
 
 // follow watches the store while needsStore holds.
-func (s *Feed) follow(ctx context.Context) {
+func (s *Syncer) follow(ctx context.Context) {
 	backoff := minBackoff
 
 	s.pullFirst(ctx)
@@ -138,7 +138,7 @@
 
 // watch reads the configuration and then its changes, until a call fails, the epoch changes
 // or this node no longer needs the store.
-func (s *Feed) watch(ctx context.Context, changed <-chan struct{}) error {
+func (s *Syncer) watch(ctx context.Context, changed <-chan struct{}) error {
 	at, err := s.read(ctx)
 	if err != nil {
 		return err
@@ -163,7 +163,7 @@
 	return nil
 }
 
-func (s *Feed) read(ctx context.Context) (int64, error) {
+func (s *Syncer) read(ctx context.Context) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 
@@ -181,7 +181,7 @@
 }
 
 // wait runs one watch. A signal on restartWatch or a change of the epoch ends it early.
-func (s *Feed) wait(ctx context.Context, at int64, changed <-chan struct{}) (store.Changes, error) {
+func (s *Syncer) wait(ctx context.Context, at int64, changed <-chan struct{}) (store.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout+watchMargin)
 	defer cancel()
 
@@ -214,13 +214,13 @@
 	return changes, err
 }
 
-func (s *Feed) reportUnreachable(err error) {
+func (s *Syncer) reportUnreachable(err error) {
 	if s.storeReachable.Swap(false) {
 		s.options.Recorder.Record(event.PlatformLost, timeline.Entry{Version: s.options.Holder.Number(), Detail: "configuration: " + err.Error()})
 	}
 }
 
-func (s *Feed) reportReachable() {
+func (s *Syncer) reportReachable() {
 	if !s.storeReachable.Swap(true) {
 		s.options.Recorder.Record(event.PlatformBack, timeline.Entry{Version: s.options.Holder.Number(), Detail: "configuration"})
 	}
--- a/internal/configsync/peers.go
+++ b/internal/configsync/peers.go
@@ -59,7 +59,7 @@
 }
 
 // versionUpdate returns the active version, compressed for a node that has the version held.
-func (s *Feed) versionUpdate(held uint64) (versionUpdate, error) {
+func (s *Syncer) versionUpdate(held uint64) (versionUpdate, error) {
 	version, raw := s.options.Holder.Raw()
 	base, document := s.options.Holder.Before()
 
@@ -74,7 +74,7 @@
 
 // queueUpdate queues the version of another node for decoding. It fails if the document was
 // compressed against a version that is not the active one; the caller then pulls it in full.
-func (s *Feed) queueUpdate(n versionUpdate) error {
+func (s *Syncer) queueUpdate(n versionUpdate) error {
 	if n.Version <= s.options.Holder.Number() || len(n.Packed) == 0 {
 		return nil
 	}
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func (s *Feed) servePull(_ context.Context, in versionMessage) (versionUpdate, error) {
+func (s *Syncer) servePull(_ context.Context, in versionMessage) (versionUpdate, error) {
 	if s.options.Holder.Number() <= in.Version {
 		return versionUpdate{Version: s.options.Holder.Number(), Current: s.storeReachable.Load()}, nil
 	}
@@ -108,7 +108,7 @@
 	return s.versionUpdate(in.Version)
 }
 
-func (s *Feed) servePush(_ context.Context, in versionUpdate) (versionMessage, error) {
+func (s *Syncer) servePush(_ context.Context, in versionUpdate) (versionMessage, error) {
 	if in.Current {
 		s.informedAt.Store(monotonic())
 	}
@@ -122,7 +122,7 @@
 
 // pullLoop periodically pulls from a watcher of this node's failure domain, and from a
 // watcher of any failure domain while none of these is up to date.
-func (s *Feed) pullLoop(ctx context.Context) {
+func (s *Syncer) pullLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -144,7 +144,7 @@
 }
 
 // allWatchers returns the watchers of all failure domains.
-func (s *Feed) allWatchers() []membership.Record {
+func (s *Syncer) allWatchers() []membership.Record {
 	var out []membership.Record
 
 	for _, domain := range s.options.Members.Domains() {
@@ -168,7 +168,7 @@
 
 // pullFromAny pulls from a random one of the nodes and reports whether that node is up to
 // date.
-func (s *Feed) pullFromAny(ctx context.Context, nodes []membership.Record) bool {
+func (s *Syncer) pullFromAny(ctx context.Context, nodes []membership.Record) bool {
 	if len(nodes) == 0 {
 		return false
 	}
@@ -176,7 +176,7 @@
 	return s.pull(ctx, nodes[rand.IntN(len(nodes))].PeerAddress)
 }
 
-func (s *Feed) pull(ctx context.Context, address string) bool {
+func (s *Syncer) pull(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 
@@ -194,7 +194,7 @@
 
 // pushLoop pushes each newly activated version to the other nodes of the failure domain while
 // this node is a watcher.
-func (s *Feed) pushLoop(ctx context.Context) {
+func (s *Syncer) pushLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -221,7 +221,7 @@
 
 // pushTo pushes a version to one node, unless a push to that node is in flight: outdated
 // versions would fill a slow link. The node pulls the versions that were skipped.
-func (s *Feed) pushTo(ctx context.Context, address string, message versionUpdate) {
+func (s *Syncer) pushTo(ctx context.Context, address string, message versionUpdate) {
 	if _, busy := s.pushing.LoadOrStore(address, true); busy {
 		return
 	}
--- a/internal/configsync/tell.go
+++ b/internal/configsync/tell.go
@@ -47,7 +47,7 @@
 // without an error. A new version would reach that failure domain only after the dead watches
 // are detected, which takes longer than a version may take to become active. With the notice
 // it arrives within half a second.
-func (s *Feed) notifyDomains(ctx context.Context, version uint64) {
+func (s *Syncer) notifyDomains(ctx context.Context, version uint64) {
 	self := s.options.Members.Self()
 	message := notice{Version: version, Address: self.PeerAddress}
 	ownWatchers := s.options.Members.FirstOf(self.FailureDomain, Watchers)
@@ -68,7 +68,7 @@
 	}
 }
 
-func (s *Feed) sendNotice(ctx context.Context, address string, message notice) {
+func (s *Syncer) sendNotice(ctx context.Context, address string, message notice) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 
@@ -80,7 +80,7 @@
 
 // serveNotify handles a notice of a version. Usually this node's own watch returns the version
 // at the same moment; otherwise fetchNoticed pulls it from the sender.
-func (s *Feed) serveNotify(_ context.Context, in notice) (versionMessage, error) {
+func (s *Syncer) serveNotify(_ context.Context, in notice) (versionMessage, error) {
 	s.informedAt.Store(monotonic())
 
 	s.mu.Lock()
@@ -95,7 +95,7 @@
 }
 
 // fetchNoticed pulls noticed versions that do not arrive within noticeGrace.
-func (s *Feed) fetchNoticed(ctx context.Context) {
+func (s *Syncer) fetchNoticed(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -116,7 +116,7 @@
 }
 
 // serveHint handles a hint that this node's watch may have missed a version.
-func (s *Feed) serveHint(_ context.Context, in versionMessage) (versionMessage, error) {
+func (s *Syncer) serveHint(_ context.Context, in versionMessage) (versionMessage, error) {
 	if in.Version > s.options.Holder.Number() {
 		signal(s.restartWatch)
 	}
@@ -127,7 +127,7 @@
 // Hear handles gossip that the node at address has a version. Usually the version is about to
 // arrive from the store or a watcher. Only if it does not arrive in time is it pulled, if
 // necessary from another failure domain.
-func (s *Feed) Hear(ctx context.Context, address string, version uint64) {
+func (s *Syncer) Hear(ctx context.Context, address string, version uint64) {
 	if version <= s.options.Holder.Number() || s.awaitingVersion.Swap(true) {
 		return
 	}
@@ -146,20 +146,20 @@
 
 // pullMissed restarts the watch, which did not return a version that another node has, and
 // pulls that version.
-func (s *Feed) pullMissed(ctx context.Context, address string) {
+func (s *Syncer) pullMissed(ctx context.Context, address string) {
 	signal(s.restartWatch)
 	s.pull(ctx, address)
 }
 
 // hint notifies the watchers of all failure domains that their watch may have missed a
 // version.
-func (s *Feed) hint(ctx context.Context) {
+func (s *Syncer) hint(ctx context.Context) {
 	for _, r := range without(s.allWatchers(), s.options.Members.Self().ID) {
 		go s.sendHint(ctx, r.PeerAddress)
 	}
 }
 
-func (s *Feed) sendHint(ctx context.Context, address string) {
+func (s *Syncer) sendHint(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 
--- a/internal/configsync/world_test.go
+++ b/internal/configsync/world_test.go
@@ -44,7 +44,7 @@
 	holder       *route.Holder
 	epoch        *epoch.Current
 	reported     *timeline.Recorder
-	syncer       *Feed
+	syncer       *Syncer
 	stop         context.CancelFunc
 	calls        int // to the store
 	checkedAt    time.Time
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -76,7 +76,7 @@
 	epoch      *epoch.Current // of the store
 	store      *platform.Store
 	holder     *route.Holder
-	configsync *configsync.Feed
+	configsync *configsync.Syncer
 	discovery  *discovery.Rendezvous
 	tombstone  *tombstone.Departures
 
