--- a/internal/epoch/epoch.go
+++ b/internal/epoch/epoch.go
@@ -1,34 +1,35 @@
-// Package epoch tells copies of a store's contents apart.
+// Package epoch distinguishes the states of a store before and after it is restored from an
+// older copy.
 //
-// A store that comes back from an older copy gives out revisions and leases again. What
-// was learned of it in one epoch says nothing about the next: a revision to go on from, a
-// lease to renew, a record that was written. The epoch rises by one each time, and a
-// process hears of it from the store's answers or from other nodes.
+// A store restored from an older copy assigns the same revisions and leases again. What a
+// process learned in one epoch is invalid in the next: a revision to continue a watch from, a
+// lease to renew, a record that was written. The epoch rises by one with each restore, and a
+// process learns of it from the store's answers or from other nodes.
 //
 // # Usage
 //
 //	c := epoch.New()
 //	changed := c.Changed()
 //	c.Observe(7)
-//	<-changed // what was kept in the store is written again
+//	<-changed // write the process's records to the store again
 package epoch
 
 import "sync"
 
-// Current is the highest epoch that this process has heard of. 0 means none yet, or that
-// the store counts from 0.
+// Current is the highest epoch that this process has observed. It is 0 before the first one,
+// and for a store whose epochs start at 0.
 type Current struct {
-	mu      sync.Mutex
-	heard   bool
-	number  uint64
-	before  uint64
-	changed chan struct{}
+	mu       sync.Mutex
+	known    bool
+	number   uint64
+	previous uint64
+	changed  chan struct{}
 }
 
-// New returns a current epoch of 0.
+// New returns a Current with epoch 0 that has observed none yet.
 func New() *Current { return &Current{changed: make(chan struct{})} }
 
-// Number returns the highest epoch heard of.
+// Number returns the highest observed epoch.
 func (c *Current) Number() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,31 +37,32 @@
 	return c.number
 }
 
-// Before returns the epoch that the last change ended, 0 if there was no change.
+// Before returns the epoch that ended with the last change, 0 if there was no change.
 func (c *Current) Before() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	return c.before
+	return c.previous
 }
 
-// Observe takes an epoch that was heard of. It reports false for one that is over: what
-// came with it is an answer from before. The first epoch of a process is no change.
+// Observe records an epoch from an answer or another node. It returns false if that epoch is
+// over, so that the answer is outdated. The first epoch of a process does not count as a
+// change.
 func (c *Current) Observe(number uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	if c.heard && number <= c.number {
+	if c.known && number <= c.number {
 		return number == c.number
 	}
 
-	if c.heard {
-		c.before = c.number
+	if c.known {
+		c.previous = c.number
 		close(c.changed)
 		c.changed = make(chan struct{})
 	}
 
-	c.heard, c.number = true, number
+	c.known, c.number = true, number
 
 	return true
 }
--- a/internal/epoch/epoch_test.go
+++ b/internal/epoch/epoch_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestTheFirstEpochIsNoChange(t *testing.T) {
+func TestFirstObservedEpochIsNoChange(t *testing.T) {
 	c := epoch.New()
 	changed := c.Changed()
 
@@ -26,7 +26,7 @@
 	assert.Assert(t, !closed(changed))
 }
 
-func TestALateAnswerChangesNothing(t *testing.T) {
+func TestAnswerOfEarlierEpochIsRejected(t *testing.T) {
 	c := epoch.New()
 	c.Observe(3)
 
@@ -38,7 +38,7 @@
 	assert.Assert(t, !closed(changed))
 }
 
-func TestAChangeIsHeardByAllWhoWait(t *testing.T) {
+func TestChangeWakesAllWaiters(t *testing.T) {
 	c := epoch.New()
 	c.Observe(3)
 
@@ -50,7 +50,7 @@
 	assert.Assert(t, !closed(c.Changed()))
 }
 
-func TestAStoreThatCountsFromZeroIsHeardToChange(t *testing.T) {
+func TestChangeFromEpochZeroIsObserved(t *testing.T) {
 	c := epoch.New()
 	changed := c.Changed()
 
@@ -60,7 +60,7 @@
 	assert.Assert(t, closed(changed))
 }
 
-func TestTheEpochBeforeIsThatOfTheLastChange(t *testing.T) {
+func TestBeforeReturnsEpochEndedByLastChange(t *testing.T) {
 	c := epoch.New()
 	c.Observe(3)
 	assert.Equal(t, c.Before(), uint64(0))
