--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store says what a sidecar needs of the platform's key-value store beside
-// what every node needs (see internal/platform): lists, and watches of a prefix
-// that return when something changed.
+// Package store holds the types for the parts of the platform's key-value store that only
+// sidecars use, in addition to internal/platform, which every node uses: lists of keys, and
+// watches of a prefix that return when a key changes.
 //
 //	changes, err := s.Watch(ctx, "fleet/", after, 20*time.Second)
 //	after = changes.Revision
@@ -13,13 +13,12 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// ErrCompacted means that the store no longer has the changes that were asked for;
-// the keys have to be read again.
+// ErrCompacted is returned if the store no longer has the requested changes. The caller has to
+// read the keys again.
 var ErrCompacted = errs.New("store.compacted", http.StatusGone, "the store no longer has these changes")
 
-// ErrSuperseded means that the store came back from an older copy while the call was under
-// way: its answer is from the epoch before, or nobody knows of which. Its cause is
-// platform.ErrUnknown.
+// ErrSuperseded is returned if the store was restored from an older copy during the call. Its
+// answer belongs to the previous epoch or to an unknown one. The cause is platform.ErrUnknown.
 var ErrSuperseded = errs.New("store.superseded", http.StatusGatewayTimeout, "the store came back from an older copy meanwhile")
 
 // Change is one change of a key.
@@ -29,9 +28,9 @@
 	Deleted bool
 }
 
-// Changes are what happened to the keys of a prefix.
+// Changes are the changes of the keys under a prefix.
 type Changes struct {
 	Entries []Change
-	// Revision is where to go on from.
+	// Revision is the revision to continue the watch from.
 	Revision int64
 }
