--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,17 +1,16 @@
-// Package invariant checks, while the program runs, the promises that must
-// always hold.
+// Package invariant checks at run time the invariants of the program.
 //
-// A broken promise is a fault of this program, never of its surroundings: it is
-// counted in metrics, recorded as event 900 with the version, key or call that
-// it concerns, and ends a test at once, so that the stack shows who broke it.
-// A running node goes on: one wrong call must not take the other calls with it.
+// A violation is a defect of this program, never an effect of its environment. It is counted in
+// metrics and recorded as event 900 with the version, key or call that it concerns. In a test
+// it panics, so that the stack shows the cause. A running node continues: one wrong call must
+// not fail the other calls.
 //
 // # Usage
 //
 //	invariant.Check(recorder, invariant.VersionsGoUp, next > held, timeline.Entry{Version: next})
 //
-// Checks are counted too, since a promise that was never checked was not shown.
-// A check costs one atomic addition and no allocation while it holds.
+// Passed checks are counted too, since an invariant that is never checked is not verified. A
+// passed check costs one atomic addition and no allocation.
 package invariant
 
 import (
@@ -24,29 +23,29 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Invariant is one promise.
+// Invariant identifies one invariant.
 type Invariant int
 
-// The promises.
+// The checked invariants.
 const (
-	// VersionsGoUp: a node never takes a version lower than the one it holds.
+	// VersionsGoUp: a node never activates a version lower than its active one.
 	VersionsGoUp Invariant = iota
-	// VersionsAreWhole: the records in force are exactly those of one version.
+	// VersionsAreWhole: the active records are exactly those of one version.
 	VersionsAreWhole
-	// ServicesAreKnown: each route in force leads to a declared service, and a
-	// call runs on a backend server of its route's service.
+	// ServicesAreKnown: each active route leads to a declared service, and a call
+	// runs on a backend server of its route's service.
 	ServicesAreKnown
 	// KeysStartOnce: this process starts a non-idempotent key at most once.
 	KeysStartOnce
-	// AnswersMatch: an answer goes to the call that it was given for.
+	// AnswersMatch: an answer is returned only to its own call.
 	AnswersMatch
-	// NothingAfterDrain: a backend server that is leaving gets no new call.
+	// NothingAfterDrain: a draining backend server gets no new call.
 	NothingAfterDrain
 
 	count
 )
 
-// String returns the name used in metrics and events.
+// String returns the name that metrics and events use.
 func (i Invariant) String() string {
 	names := [count]string{
 		"VersionsGoUp", "VersionsAreWhole", "ServicesAreKnown", "KeysStartOnce", "AnswersMatch", "NothingAfterDrain",
@@ -55,7 +54,7 @@
 	return names[i]
 }
 
-// All returns the promises.
+// All returns all invariants.
 func All() []Invariant {
 	out := make([]Invariant, count)
 	for i := range out {
@@ -65,45 +64,46 @@
 	return out
 }
 
-// Recorder takes events.
+// Recorder records events.
 type Recorder interface {
 	Record(e event.Event, entry timeline.Entry)
 }
 
-type tally struct{ checked, broken atomic.Int64 }
+type counters struct{ checked, violated atomic.Int64 }
 
-// Counts are of the process: a promise broken anywhere in it is broken.
-var tallies [count]tally
+// counts are shared by the whole process, so that a violation anywhere in it is reported.
+var counts [count]counters
 
-// fatal is replaced by the tests of this package only.
-var fatal = testing.Testing()
+// Only the tests of this package change panicOnViolation.
+var panicOnViolation = testing.Testing()
 
-// Check counts the check, and reports a promise that does not hold. It returns
-// whether it holds, so that the caller can refuse to go on.
+// Check counts a check of the invariant and reports a violation unless holds is true. It
+// returns holds, so that the caller can stop.
 func Check(r Recorder, i Invariant, holds bool, entry timeline.Entry) bool {
-	tallies[i].checked.Add(1)
+	counts[i].checked.Add(1)
 
 	if !holds {
-		broken(r, i, entry)
+		violated(r, i, entry)
 	}
 
 	return holds
 }
 
-func broken(r Recorder, i Invariant, entry timeline.Entry) {
-	tallies[i].broken.Add(1)
+// violated counts and records a violation, and panics in a test.
+func violated(r Recorder, i Invariant, entry timeline.Entry) {
+	counts[i].violated.Add(1)
 
 	entry.Detail = i.String() + " " + entry.Detail
 	r.Record(event.InvariantBroken, entry)
 
-	if fatal {
-		panic("invariant broken: " + entry.Detail)
+	if panicOnViolation {
+		panic("invariant violated: " + entry.Detail)
 	}
 }
 
-// Counts returns how often the promise was checked and found broken.
-func Counts(i Invariant) (checked, broken int64) {
-	return tallies[i].checked.Load(), tallies[i].broken.Load()
+// Counts returns the numbers of checks and of violations of the invariant.
+func Counts(i Invariant) (checked, violated int64) {
+	return counts[i].checked.Load(), counts[i].violated.Load()
 }
 
 // Names of the metrics.
@@ -112,7 +112,7 @@
 	MetricBroken  = "pollencart_invariant_broken_total"
 )
 
-// Collector gives the counts as metrics.
+// Collector exports the counts as metrics.
 type Collector struct{}
 
 var (
@@ -129,8 +129,8 @@
 // Collect implements prometheus.Collector.
 func (Collector) Collect(out chan<- prometheus.Metric) {
 	for _, i := range All() {
-		checked, broken := Counts(i)
+		checked, violated := Counts(i)
 		out <- prometheus.MustNewConstMetric(checkedDesc, prometheus.CounterValue, float64(checked), i.String())
-		out <- prometheus.MustNewConstMetric(brokenDesc, prometheus.CounterValue, float64(broken), i.String())
+		out <- prometheus.MustNewConstMetric(brokenDesc, prometheus.CounterValue, float64(violated), i.String())
 	}
 }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -13,27 +13,27 @@
 
 func recorder() *timeline.Recorder { return timeline.New(timeline.Node("a")) }
 
-// running makes a broken promise behave as in a running node.
-func running(t *testing.T) {
+// doNotPanic makes a violation behave as in a running node.
+func doNotPanic(t *testing.T) {
 	t.Helper()
 
-	fatal = false
+	panicOnViolation = false
 
-	t.Cleanup(func() { fatal = true })
+	t.Cleanup(func() { panicOnViolation = true })
 }
 
-func TestABrokenPromiseIsRecordedAndCounted(t *testing.T) {
-	running(t)
+func TestViolationIsRecordedAndCounted(t *testing.T) {
+	doNotPanic(t)
 
 	r := recorder()
-	checked, broken := Counts(VersionsGoUp)
+	checked, violated := Counts(VersionsGoUp)
 
 	assert.Assert(t, Check(r, VersionsGoUp, true, timeline.Entry{Version: 7}))
 	assert.Assert(t, !Check(r, VersionsGoUp, false, timeline.Entry{Version: 6, Detail: "after 7"}))
 
-	c, b := Counts(VersionsGoUp)
+	c, v := Counts(VersionsGoUp)
 	assert.Equal(t, c-checked, int64(2))
-	assert.Equal(t, b-broken, int64(1))
+	assert.Equal(t, v-violated, int64(1))
 
 	entries := r.Entries(timeline.Filter{})
 	assert.Equal(t, len(entries), 1)
@@ -42,14 +42,14 @@
 	assert.Equal(t, entries[0].Detail, "VersionsGoUp after 7")
 }
 
-func TestABrokenPromiseEndsATest(t *testing.T) {
+func TestViolationPanicsInTests(t *testing.T) {
 	defer func() { assert.Assert(t, recover() != nil) }()
 
 	Check(recorder(), AnswersMatch, false, timeline.Entry{})
 }
 
-func TestAKeyIsStartedAgainOnlyIfItDidNotRun(t *testing.T) {
-	running(t)
+func TestKeyStartsAgainOnlyIfItDidNotRun(t *testing.T) {
+	doNotPanic(t)
 
 	k := NewKeys(recorder())
 	assert.Assert(t, k.Start("a", "1"))
@@ -59,17 +59,17 @@
 	assert.Assert(t, k.Start("b", "4"))
 }
 
-func TestWatchedKeysAreBounded(t *testing.T) {
+func TestTrackedKeysAreBounded(t *testing.T) {
 	k := NewKeys(recorder())
-	for n := range 2 * KeysKept {
+	for n := range 2 * MaxKeys {
 		k.Start(strconv.Itoa(n), "")
 	}
 
-	assert.Equal(t, len(k.started), KeysKept)
-	assert.Equal(t, len(k.order), KeysKept)
+	assert.Equal(t, len(k.started), MaxKeys)
+	assert.Equal(t, len(k.order), MaxKeys)
 }
 
-func TestACheckThatHoldsAllocatesNothing(t *testing.T) {
+func TestPassingCheckDoesNotAllocate(t *testing.T) {
 	r := recorder()
 	got := testing.AllocsPerRun(100, func() {
 		Check(r, AnswersMatch, true, timeline.Entry{Call: "c", Detail: "d"})
@@ -77,7 +77,7 @@
 	assert.Equal(t, got, 0.0)
 }
 
-func TestEveryPromiseHasMetrics(t *testing.T) {
+func TestEveryInvariantHasMetrics(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(Collector{})
 
--- a/internal/invariant/keys.go
+++ b/internal/invariant/keys.go
@@ -8,12 +8,12 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// KeysKept bounds the keys that are watched: 16 bytes each and the map's
-// overhead make some 3 MB when full. An older key is no longer watched, which
-// only makes the check blind to repeats that come later.
-const KeysKept = 1 << 16
+// MaxKeys is the maximum number of tracked keys: 16 bytes each plus the map's overhead, about
+// 3 MB when full. The oldest key is dropped first; a later repeat of a dropped key is not
+// detected.
+const MaxKeys = 1 << 16
 
-// Keys watches that each non-idempotent key is started at most once here.
+// Keys checks that this process starts each non-idempotent key at most once.
 type Keys struct {
 	recorder Recorder
 
@@ -23,11 +23,11 @@
 	next    int
 }
 
-// NewKeys returns a watch that has seen no key.
+// NewKeys returns a checker that tracks no key yet.
 func NewKeys(r Recorder) *Keys { return &Keys{recorder: r, started: map[uint64]struct{}{}} }
 
-// Start notes that the key goes to the backend server now, and reports whether
-// it is the first time.
+// Start tracks a key that is being sent to the backend server, and returns whether this is its
+// first start.
 func (k *Keys) Start(key, call string) bool {
 	return Check(k.recorder, KeysStartOnce, k.first(xxhash.Sum64String(key)), timeline.Entry{Key: key, Call: call})
 }
@@ -36,13 +36,13 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
-	if _, again := k.started[sum]; again {
+	if _, found := k.started[sum]; found {
 		return false
 	}
 
 	k.started[sum] = struct{}{}
 
-	if len(k.order) < KeysKept {
+	if len(k.order) < MaxKeys {
 		k.order = append(k.order, sum)
 
 		return true
@@ -50,13 +50,13 @@
 
 	delete(k.started, k.order[k.next])
 	k.order[k.next] = sum
-	k.next = (k.next + 1) % KeysKept
+	k.next = (k.next + 1) % MaxKeys
 
 	return true
 }
 
-// NotRun notes that nothing of the key was run, as when no connection could be
-// made or the backend server shed it: then it may be started again.
+// NotRun forgets a key of which nothing was run, for example because no connection could be made
+// or the backend server shed the call. The key may then be started again.
 func (k *Keys) NotRun(key string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
