--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -24,7 +24,7 @@
 		shard.Recorder(n.recorder), shard.Watching(n.watching), shard.Domains(n.domains))
 	n.home = once.New(n.config.ID, life, once.Recorder(n.recorder), once.WithShards(n.shards))
 	n.register = attempt.NewRegister(life, attempt.DefaultBound)
-	n.suspects = poison.NewWatch(poison.Self{Node: n.config.ID, Life: life, Address: n.config.PeerAddress},
+	n.suspects = poison.NewWatch(poison.Self{Node: n.config.ID, BootID: life, Address: n.config.PeerAddress},
 		n.table, n.client, n.recorder).WithStallDetector(n.stall)
 }
 
--- a/internal/poison/mesh_test.go
+++ b/internal/poison/mesh_test.go
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithCancel(m.t.Context())
 
 	g.boots++
-	self := poison.Self{Node: g.id, Life: fmt.Sprintf("%s#%d", g.id, g.boots), Address: g.id}
+	self := poison.Self{Node: g.id, BootID: fmt.Sprintf("%s#%d", g.id, g.boots), Address: g.id}
 	g.watch = poison.NewWatch(self, g, g, timeline.New(timeline.Node(g.id))).WithStallDetector(&g.stalls)
 	g.stop = cancel
 
--- a/internal/poison/permission.go
+++ b/internal/poison/permission.go
@@ -43,7 +43,7 @@
 	liveGates := w.otherGates(p.Service, live)
 	p.Gate = c.Gate
 
-	if c.Gate == w.self.Life {
+	if c.Gate == w.self.BootID {
 		return granter{node: w.self.Node}, w.grant(ctx, p)
 	}
 
--- a/internal/poison/serve.go
+++ b/internal/poison/serve.go
@@ -99,7 +99,7 @@
 
 // serveAcquire grants a permit, if no other gate holds it.
 func (w *Watch) serveAcquire(ctx context.Context, p PermitRequest) (PermitReply, error) {
-	if p.Gate != "" && p.Gate != w.self.Life {
+	if p.Gate != "" && p.Gate != w.self.BootID {
 		return PermitReply{Gone: true}, nil
 	}
 
@@ -115,7 +115,7 @@
 func (w *Watch) serveRelease(_ context.Context, p PermitRequest) (Empty, error) {
 	w.table.MergeCrashes(p.Suspect, p.Crashes)
 
-	if p.Gate == "" || p.Gate == w.self.Life {
+	if p.Gate == "" || p.Gate == w.self.BootID {
 		w.permits.Release(p.Suspect.Digest)
 	}
 
--- a/internal/poison/watch.go
+++ b/internal/poison/watch.go
@@ -47,7 +47,7 @@
 // Self identifies the gate that this watch belongs to.
 type Self struct {
 	Node    string
-	Life    string
+	BootID  string
 	Address string
 }
 
@@ -299,7 +299,7 @@
 
 	w.lastCrash = max(w.lastCrash, before+1)
 
-	return Crash{Gate: w.self.Life, Number: before + 1, Address: w.self.Address}
+	return Crash{Gate: w.self.BootID, Number: before + 1, Address: w.self.Address}
 }
 
 const (
