--- a/internal/acceptance/acceptance.go
+++ b/internal/acceptance/acceptance.go
@@ -1,15 +1,16 @@
-// Package acceptance decides which tree is the accepted one.
+// Package acceptance stores versions of the settings tree on the platform and
+// decides which of them is the accepted one.
 //
-// Branches and the manifest of a version are values addressed by their digest
-// and are written first; then one head record is changed by compare-and-swap.
-// A reader that sees a head can therefore read all of its version, and nothing
-// is ever accepted in part.
+// The branches and the manifest of a version are stored under their digests
+// first; then a compare-and-swap replaces the single head record. A reader that
+// sees a head can therefore read its whole version, and no version is ever
+// accepted in part.
 //
 //	a := acceptance.New(store)
 //	version, err := a.Accept(ctx, acceptance.Request{ID: id, Base: 6, Tree: tree})
 //
-// An acceptance ends in one of three ways: accepted; not accepted, with the
-// reason; or ErrUnknown, and asking again with the same ID settles it.
+// An acceptance has one of three outcomes: accepted; not accepted, with the
+// reason; or ErrUnknown, which a retry with the same ID resolves.
 package acceptance
 
 import (
@@ -28,61 +29,61 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Errors of an acceptance. All but ErrUnknown and ErrForgotten mean that nothing was accepted.
+// Errors of an acceptance. All except ErrUnknown and ErrForgotten mean that
+// nothing was accepted.
 var (
 	ErrConflict = errs.New("acceptance.conflict", http.StatusConflict, "the same branches were changed by another acceptance")
 	ErrUnknown  = errs.New("acceptance.unknown", http.StatusGatewayTimeout,
 		"no answer from the platform; the version may have been accepted, ask again with the same ID")
 	ErrOutage = errs.New("acceptance.outage", http.StatusServiceUnavailable, "not accepted: the platform can't be reached")
 	ErrBase   = errs.New("acceptance.base", http.StatusConflict, "not accepted: the base version is not known")
-	// ErrForgotten is returned for an ID that is asked again when all records of it
-	// are gone, a week later.
+	// ErrForgotten is returned for a retry after all records of its ID have
+	// expired, which takes a week.
 	ErrForgotten = errs.New("acceptance.forgotten", http.StatusGone, "the ID is too old to be settled; look at the tree in force")
-	// ErrVersion is returned for a version that left the history.
+	// ErrVersion is returned for a version that is no longer in the history.
 	ErrVersion = errs.New("acceptance.version", http.StatusNotFound, "no such version in the history")
 	ErrBusy    = errs.New("acceptance.busy", http.StatusServiceUnavailable, "not accepted: other acceptances went first too often")
 	ErrID      = errs.New("acceptance.id", http.StatusBadRequest,
 		"an acceptance ID of 1 to 64 letters, digits, dots, dashes or underscores is needed")
 )
 
-// Bounds of one acceptance. Sixteen operators can race at once; an outage of
-// the platform is waited out for about two seconds, since its usual hiccups are
-// shorter and an operator prefers an answer to a longer wait.
+// Bounds of one acceptance. Sixteen operators can race at once. A platform
+// outage is retried for about two seconds: usual interruptions are shorter, and
+// an operator prefers an answer to a longer wait.
 const (
-	maxRaces   = 16
-	maxOutages = 4
-	firstPause = 100 * time.Millisecond
+	maxConflicts = 16
+	maxOutages   = 4
+	firstBackoff = 100 * time.Millisecond
 )
 
-// Request is what an operator asks for.
+// Request is an operator's request to accept a tree.
 type Request struct {
-	// ID tells this acceptance apart from all others; asking again with the same
-	// ID never accepts twice.
+	// ID identifies the acceptance; a retry with the same ID never accepts twice.
 	ID string
-	// Again says that the ID was used before with an unknown outcome.
+	// Again marks a retry of a request whose outcome was unknown.
 	Again bool
 	// Base is the version that the tree was edited from.
 	Base uint64
-	// Known is what the asking node holds; the new number is above it even if
-	// the platform came back from an older copy.
+	// Known is the state stored on the requesting node. The new version number is
+	// above its number, even if the platform was restored from an older copy.
 	Known    Known
 	Tree     settings.Tree
 	Operator string
 	Message  string
 }
 
-// idForm bounds what becomes a part of a key on the platform.
-var idForm = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
+// idPattern restricts acceptance IDs, which become part of a platform key.
+var idPattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
 func (r Request) check() error {
-	if !idForm.MatchString(r.ID) {
+	if !idPattern.MatchString(r.ID) {
 		return ErrID.With("%q", r.ID)
 	}
 
 	return r.Tree.CheckErr()
 }
 
-// Acceptor accepts trees and reads accepted ones.
+// Acceptor accepts settings trees and reads accepted versions.
 type Acceptor struct {
 	store platform.Store
 }
@@ -109,8 +110,8 @@
 	return v, err
 }
 
-// Plan returns what accepting would change, and accepts nothing. It fails as
-// Accept would: for a tree that does not check and for a conflict.
+// Plan returns the changes that Accept would make, without accepting them. Like
+// Accept, it fails for an invalid tree and for a conflict.
 func (a *Acceptor) Plan(ctx context.Context, r Request) ([]settings.Change, error) {
 	if err := r.Tree.CheckErr(); err != nil {
 		return nil, err
@@ -126,7 +127,7 @@
 		return nil, err
 	}
 
-	now := settings.Records{}
+	current := settings.Records{}
 
 	if s.head.Version.Number > 0 {
 		head, err := a.Snapshot(ctx, s.head.Version, r.Known.Snapshot)
@@ -134,7 +135,7 @@
 			return nil, err
 		}
 
-		now = head.Records()
+		current = head.Records()
 	}
 
 	next, err := a.rebase(ctx, r, s, mine)
@@ -142,10 +143,10 @@
 		return nil, err
 	}
 
-	return settings.DiffRecords(now, next), nil
+	return settings.DiffRecords(current, next), nil
 }
 
-// Version reads an accepted version by its number; 0 is the newest.
+// Version reads an accepted version by its number; 0 means the newest.
 func (a *Acceptor) Version(ctx context.Context, number uint64, k Known) (*settings.Snapshot, error) {
 	if number > 0 && number == k.number() {
 		return k.Snapshot, nil
@@ -169,17 +170,17 @@
 }
 
 func (a *Acceptor) accept(ctx context.Context, r Request, mine settings.Records) (settings.Version, error) {
-	// Once a swap was sent whose answer is lost, only the platform's own record
-	// of the ID says whether it took effect.
-	unsure := r.Again
+	// After the answer to a swap is lost, only the outcome record of the ID on the
+	// platform shows whether the swap took effect.
+	outcomeUnknown := r.Again
 
-	for races, outages := 0, 0; ; {
+	for conflicts, outages := 0, 0; ; {
 		v, sent, err := a.attempt(ctx, r, mine)
-		unsure = unsure || sent && errors.Is(err, platform.ErrUnknown)
+		outcomeUnknown = outcomeUnknown || sent && errors.Is(err, platform.ErrUnknown)
 
 		switch {
 		case errors.Is(err, platform.ErrConflict):
-			races++
+			conflicts++
 		case errors.Is(err, platform.ErrUnknown), errors.Is(err, platform.ErrUnavailable):
 			outages++
 		case err != nil:
@@ -188,15 +189,15 @@
 			return v, nil
 		}
 
-		if races == maxRaces || outages == maxOutages || !pause(ctx, races+outages) {
-			return settings.Version{}, failure(r, unsure, err)
+		if conflicts == maxConflicts || outages == maxOutages || !backOff(ctx, conflicts+outages) {
+			return settings.Version{}, finalError(r, outcomeUnknown, err)
 		}
 	}
 }
 
-func failure(r Request, unsure bool, err error) error {
+func finalError(r Request, outcomeUnknown bool, err error) error {
 	switch {
-	case unsure:
+	case outcomeUnknown:
 		return ErrUnknown.With("ID %s", r.ID).Wrap(err)
 	case errors.Is(err, platform.ErrConflict):
 		return ErrBusy
@@ -205,21 +206,21 @@
 	}
 }
 
-// pause waits with full jitter, so that operators who lost the same race do not
-// meet again in the next one.
-func pause(ctx context.Context, n int) bool {
-	const most = 4
+// backOff waits with full jitter, so that operators that lost the same race do
+// not collide again. It reports whether the context is still active.
+func backOff(ctx context.Context, n int) bool {
+	const maxDoublings = 4
 
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(rand.N(firstPause << min(n, most))):
+	case <-time.After(rand.N(firstBackoff << min(n, maxDoublings))):
 		return true
 	}
 }
 
-// attempt reads, rebases, writes and swaps once. It reports whether the swap was
-// sent.
+// attempt reads the state, rebases the tree, writes its values and swaps the head,
+// once. It reports whether the swap was sent.
 func (a *Acceptor) attempt(ctx context.Context, r Request, mine settings.Records) (settings.Version, bool, error) {
 	s, err := a.state(ctx, r.ID)
 	if err != nil {
@@ -230,7 +231,7 @@
 		return *s.outcome, false, nil
 	}
 
-	if r.Known.lacks(s) {
+	if r.Known.missingFrom(s) {
 		if _, err := a.Repair(ctx, r.Known); err != nil {
 			return settings.Version{}, false, err
 		}
@@ -245,18 +246,18 @@
 		return settings.Version{}, false, err
 	}
 
-	known, err := a.headManifest(ctx, s)
+	manifest, err := a.headManifest(ctx, s)
 	if err != nil {
 		return settings.Version{}, false, err
 	}
 
-	next, err := a.write(ctx, r, s, records, known)
+	next, err := a.write(ctx, r, s, records, manifest)
 	if err != nil {
 		return settings.Version{}, false, err
 	}
 
-	values, small := valuesOf(known, records.Digests())
-	record, drop := s.record.with(next.Version, values, small)
+	values, complete := compareValues(manifest, records.Digests())
+	record, drop := s.record.with(next.Version, values, complete)
 
 	return next.Version, true, a.swap(ctx, s, next, record, drop)
 }
@@ -269,12 +270,12 @@
 	return a.Manifest(ctx, s.head.Version.Digest)
 }
 
-// write writes the values of the next version and returns its head.
+// write stores the values of the next version and returns its head record.
 func (a *Acceptor) write(
-	ctx context.Context, r Request, s state, records settings.Records, known map[string]settings.Digest,
+	ctx context.Context, r Request, s state, records settings.Records, manifest map[string]settings.Digest,
 ) (Head, error) {
 	digests := records.Digests()
-	differ := changes(known, digests)
+	changed := changes(manifest, digests)
 	next := Head{
 		Version: settings.Version{
 			Number:       max(s.head.Version.Number, r.Known.number()) + 1,
@@ -286,15 +287,15 @@
 		},
 	}
 
-	if len(differ) <= maxChanged {
-		next.Base, next.Changed = s.head.Version.Number, only(digests, differ)
-		next.Removed = slices.DeleteFunc(differ, func(path string) bool { return digests[path] != "" })
+	if len(changed) <= maxChanged {
+		next.Base, next.Changed = s.head.Version.Number, selectPaths(digests, changed)
+		next.Removed = slices.DeleteFunc(changed, func(path string) bool { return digests[path] != "" })
 	}
 
-	return next, a.writeValues(ctx, next.Version.Digest, digests, records, known)
+	return next, a.writeValues(ctx, next.Version.Digest, digests, records, manifest)
 }
 
-func encodeAll(head Head, outcome settings.Version, r record) (h, o, past []byte, err error) {
+func encodeAll(head Head, outcome settings.Version, r record) (h, o, history []byte, err error) {
 	if h, err = msgpack.Marshal(head); err != nil {
 		return nil, nil, nil, settings.ErrRecord.Wrap(err)
 	}
@@ -303,9 +304,9 @@
 		return nil, nil, nil, settings.ErrRecord.Wrap(err)
 	}
 
-	if past, err = msgpack.Marshal(r); err != nil {
+	if history, err = msgpack.Marshal(r); err != nil {
 		return nil, nil, nil, settings.ErrRecord.Wrap(err)
 	}
 
-	return h, o, past, nil
+	return h, o, history, nil
 }
--- a/internal/acceptance/acceptance_test.go
+++ b/internal/acceptance/acceptance_test.go
@@ -20,25 +20,25 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// bench is an acceptor on a stand-in of the platform.
-type bench struct {
+// fixture is an acceptor on a stand-in of the platform.
+type fixture struct {
 	*testing.T
 
 	platform *standin.Platform
 	acceptor *acceptance.Acceptor
 }
 
-func start(t *testing.T) bench {
+func newFixture(t *testing.T) fixture {
 	t.Helper()
 
 	p := standin.New()
 	s := httptest.NewServer(p.Handler())
 	t.Cleanup(s.Close)
 
-	return bench{t, p, acceptance.New(etcd.New(etcd.Endpoints(s.URL), etcd.Timeout(time.Second)))}
+	return fixture{t, p, acceptance.New(etcd.New(etcd.Endpoints(s.URL), etcd.Timeout(time.Second)))}
 }
 
-// services returns a tree of n services with a route each.
+// services returns a tree of n services with one route each.
 func services(n int) settings.Tree {
 	t := settings.Tree{}
 	t.Branches = map[string]settings.Branch{}
@@ -55,7 +55,7 @@
 	return t
 }
 
-// withDeadline returns the tree with the deadline of one branch.
+// withDeadline returns a copy of the tree with the deadline set on one branch.
 func withDeadline(t settings.Tree, name string, d time.Duration) settings.Tree {
 	next := settings.Tree{Branch: t.Branch}
 	next.Branches = map[string]settings.Branch{}
@@ -72,11 +72,11 @@
 	return next
 }
 
-func (b bench) accept(id string, base uint64, tree settings.Tree) (settings.Version, error) {
+func (b fixture) accept(id string, base uint64, tree settings.Tree) (settings.Version, error) {
 	return b.acceptor.Accept(b.Context(), acceptance.Request{ID: id, Base: base, Tree: tree, Operator: id, Message: "by " + id})
 }
 
-func (b bench) first(tree settings.Tree) settings.Version {
+func (b fixture) first(tree settings.Tree) settings.Version {
 	b.Helper()
 
 	v, err := b.accept("first", 0, tree)
@@ -85,7 +85,7 @@
 	return v
 }
 
-func (b bench) accepted() *settings.Snapshot {
+func (b fixture) accepted() *settings.Snapshot {
 	b.Helper()
 
 	head, _, err := b.acceptor.Head(b.Context())
@@ -97,11 +97,11 @@
 	return s
 }
 
-// Eight operators edit eight branches from the same version at the same time.
-// Each was told "accepted"; if one swap hid another, that operator's change
-// would be in force nowhere and nobody would notice.
+// Eight operators edit eight branches from the same version at the same time and
+// each gets "accepted". If one swap overwrote another, an accepted change would
+// silently be active on no node.
 func TestRaceOnDifferentBranchesKeepsEveryEdit(t *testing.T) {
-	b := start(t)
+	b := newFixture(t)
 	tree := services(8)
 	base := b.first(tree).Number
 
@@ -125,11 +125,11 @@
 	}
 }
 
-// Two operators change the same branch from the same version. The second one
-// must see both sides; were it accepted, the first one's change would be gone
-// without a word.
-func TestRaceOnOneBranchShowsBothSides(t *testing.T) {
-	b := start(t)
+// Two operators change the same branch from the same version. The second gets a
+// conflict with the changes of both sides; accepting it would silently discard the
+// first change.
+func TestRaceOnOneBranchReportsBothSides(t *testing.T) {
+	b := newFixture(t)
 	tree := services(2)
 	base := b.first(tree).Number
 
@@ -141,10 +141,10 @@
 	golden.Assert(t, err.Error(), "conflict.golden")
 }
 
-// Each edit is right by itself: one removes a service, the other sends a route
-// to it. Together they would send calls to a service that is not there.
-func TestRaceThatIsWrongTogetherIsRefused(t *testing.T) {
-	b := start(t)
+// Each edit is valid alone: one removes a service, the other adds a route to it.
+// Together they would route calls to a service that does not exist.
+func TestEditsThatAreInvalidTogetherAreRejected(t *testing.T) {
+	b := newFixture(t)
 	tree := services(3)
 	base := b.first(tree).Number
 
@@ -164,11 +164,11 @@
 	assert.ErrorContains(t, err, `service "s002" is not declared`)
 }
 
-// The platform takes a write and the answer is lost, at each write of an
-// acceptance in turn. An acceptor that took this for a failure would have the
-// operator accept twice; one that took a lost write for a success would report
-// a version that is in force nowhere.
-func TestLostAnswersAndLostWritesAreToldApart(t *testing.T) {
+// The platform loses a write or only its answer, at each write of an acceptance in
+// turn. Treating a lost answer as a failure would make the operator accept twice;
+// treating a lost write as a success would report a version that is active on no
+// node.
+func TestLostAnswersAndLostWritesAreDistinguished(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults standin.Faults
@@ -180,7 +180,7 @@
 		{"answers to both", standin.Faults{LoseAnswers: 2}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := start(t)
+			b := newFixture(t)
 			tree := services(3)
 			base := b.first(tree).Number
 
@@ -198,10 +198,10 @@
 	}
 }
 
-// The platform goes down with the answer to the swap. The operator is told that
-// the outcome is unknown and asks again with the same ID when it is back: once
-// the swap had taken effect, once it had not. Either way there is one version.
-func TestOutageDuringTheSwapIsSettledByAskingAgain(t *testing.T) {
+// The platform goes down before it answers the swap, so the outcome is unknown.
+// A retry with the same ID after the outage yields exactly one version, whether or
+// not the swap took effect.
+func TestRetryWithTheSameIDResolvesAnOutageDuringTheSwap(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults standin.Faults
@@ -210,7 +210,7 @@
 		{"swap was lost", standin.Faults{LoseWrites: 1, SpareWrites: 1, DownAfterLoss: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := start(t)
+			b := newFixture(t)
 			tree := services(3)
 			base := b.first(tree).Number
 			next := withDeadline(tree, "s000", time.Second)
@@ -221,14 +221,14 @@
 			assert.ErrorIs(t, err, acceptance.ErrUnknown)
 			assert.ErrorContains(t, err, "ID second")
 
-			// Asked again while the platform is still down, it is still unknown.
-			again := acceptance.Request{ID: "second", Again: true, Base: base, Tree: next}
-			_, err = b.acceptor.Accept(t.Context(), again)
+			// A retry during the outage leaves the outcome unknown.
+			retry := acceptance.Request{ID: "second", Again: true, Base: base, Tree: next}
+			_, err = b.acceptor.Accept(t.Context(), retry)
 			assert.ErrorIs(t, err, acceptance.ErrUnknown)
 
 			b.platform.SetFaults(standin.Faults{})
 
-			v, err := b.acceptor.Accept(t.Context(), again)
+			v, err := b.acceptor.Accept(t.Context(), retry)
 			assert.NilError(t, err)
 			assert.Equal(t, v.Number, base+1)
 			assert.Equal(t, b.accepted().Version().Number, base+1)
@@ -236,10 +236,10 @@
 	}
 }
 
-// The platform is down from the start. "Unknown" would make the operator ask
-// again for nothing; what can be said for certain is said.
-func TestOutageBeforeTheSwapIsNotAccepted(t *testing.T) {
-	b := start(t)
+// The platform is down from the start, so nothing can have been accepted.
+// ErrUnknown would make the operator retry needlessly.
+func TestOutageBeforeTheSwapIsReportedAsNotAccepted(t *testing.T) {
+	b := newFixture(t)
 	base := b.first(services(2)).Number
 
 	b.platform.SetFaults(standin.Faults{Down: true})
@@ -248,11 +248,11 @@
 	assert.ErrorIs(t, err, acceptance.ErrOutage)
 }
 
-// An operator with a lost answer comes back when a hundred other versions were
-// accepted. The history has forgotten the ID, and the base; without the record
-// of the ID the operator would be told "not accepted" of what was accepted.
-func TestAskingAgainSettlesAnIDThatLeftTheHistory(t *testing.T) {
-	b := start(t)
+// An operator whose answer was lost retries after so many other versions that the
+// history contains neither the ID nor the base. Without the outcome record of the
+// ID, the accepted version would be reported as not accepted.
+func TestRetryResolvesAnIDThatLeftTheHistory(t *testing.T) {
+	b := newFixture(t)
 	tree := services(2)
 	first := b.first(tree)
 
@@ -265,8 +265,8 @@
 	history, err := b.acceptor.History(t.Context())
 	assert.NilError(t, err)
 
-	_, kept := history.ID("first")
-	assert.Assert(t, !kept)
+	_, found := history.ID("first")
+	assert.Assert(t, !found)
 
 	v, err := b.accept("first", 0, tree)
 	assert.NilError(t, err)
@@ -274,15 +274,15 @@
 	assert.Equal(t, b.accepted().Version().Number, first.Number+versions)
 }
 
-// The platform comes back from an older copy while nodes hold newer versions.
-// A version built on the old head would have a number that no node takes: told
-// "accepted" and in force nowhere.
-func TestOlderCopyIsRepairedBeforeTheNextAcceptance(t *testing.T) {
-	b := start(t)
+// The platform is restored from an older copy while nodes store newer versions. A
+// version based on the old head would get a number that no node adopts: it would be
+// reported as accepted and active on no node.
+func TestRestoredOlderCopyIsRepairedBeforeTheNextAcceptance(t *testing.T) {
+	b := newFixture(t)
 	tree := services(3)
 	b.first(tree)
 
-	old := b.platform.Snapshot()
+	olderCopy := b.platform.Snapshot()
 
 	second := withDeadline(tree, "s000", time.Second)
 	_, err := b.accept("second", 1, second)
@@ -292,7 +292,7 @@
 	known.Versions, err = b.acceptor.History(t.Context())
 	assert.NilError(t, err)
 
-	b.platform.Restore(old)
+	b.platform.Restore(olderCopy)
 
 	v, err := b.acceptor.Accept(t.Context(), acceptance.Request{
 		ID: "third", Base: 2, Tree: withDeadline(second, "s001", time.Second), Known: known,
@@ -301,17 +301,17 @@
 	assert.Equal(t, v.Number, uint64(3))
 	assert.Assert(t, b.accepted().Tree().Branches["s000"].Overrides.Deadline != nil, "the second version reverted")
 
-	// The ID of a version that the copy had forgotten is settled too.
+	// A retry with the ID of a version that the copy lacked is resolved too.
 	v, err = b.accept("second", 1, second)
 	assert.NilError(t, err)
 	assert.Equal(t, v.Number, uint64(2))
 }
 
-// The platform comes back from an older copy, and before any node has repaired
-// it, an operator accepts through a node that was cut off from the newer
-// version. Both operators were told "accepted", so both changes have to stand.
-func TestVersionAcceptedOnAnOlderCopyIsPutOnTop(t *testing.T) {
-	b := start(t)
+// The platform is restored from an older copy, and before any node repairs it, an
+// operator accepts through a node that lacks the newer version. Both operators got
+// "accepted", so both changes are kept.
+func TestVersionAcceptedOnAnOlderCopyIsKeptByRepair(t *testing.T) {
+	b := newFixture(t)
 	tree := services(3)
 	b.first(tree)
 
@@ -339,12 +339,13 @@
 	assert.Assert(t, s.Tree().Branches["s001"].Overrides.Deadline != nil, "the version on the older copy reverted")
 }
 
-// The same, but both changed one branch, and the number on the older copy has
-// overtaken the one that was forgotten. One of them can't stand; it is told, and
-// no two nodes are left with different trees under one number.
-func TestClashWithAnOlderCopyIsTold(t *testing.T) {
+// Both operators change the same branch, before and after the restore from an older
+// copy; in the second round the numbers on the copy exceed the lost one. Only one
+// change can be kept: the repair reports the other as lost, and no two nodes store
+// different trees under one number.
+func TestRepairReportsConflictWithAnOlderCopy(t *testing.T) {
 	for overtaken := range 2 {
-		b := start(t)
+		b := newFixture(t)
 		tree := services(3)
 		b.first(tree)
 
@@ -373,7 +374,7 @@
 		assert.Equal(t, out.Lost[0].AcceptanceID, "second")
 		assert.Equal(t, b.accepted().Version().Number, uint64(3))
 
-		// A second watcher that repairs too finds nothing to do.
+		// A repair by a second node changes nothing.
 		known.Snapshot = b.accepted()
 		known.Versions = known.Versions.With(known.Snapshot.Version())
 		out, err = b.acceptor.Repair(t.Context(), known)
@@ -383,10 +384,10 @@
 	}
 }
 
-// A tree over a megabyte does not fit in one value. Its branches do, and the
-// platform counts calls, so that hundreds of branches must not be hundreds.
-func TestTreeOverAMegabyteIsAFewCalls(t *testing.T) {
-	b := start(t)
+// A tree over one megabyte does not fit into one value, but its branches do. The
+// platform limits the rate of calls, so hundreds of branches take only a few.
+func TestTreeOverOneMegabyteTakesFewPlatformCalls(t *testing.T) {
+	b := newFixture(t)
 	tree := services(310)
 
 	for name, branch := range tree.Branches {
@@ -416,16 +417,16 @@
 	assert.Assert(t, read <= 8, "%d reads", read)
 	assert.Equal(t, b.accepted().Version().Digest, v.Digest)
 
-	// A change of one leaf writes its branch and the manifest in one call, and
-	// the head in another.
+	// A change of one leaf takes two calls: one for the branch and the manifest,
+	// one for the head.
 	before = b.platform.Counts()
 	_, err := b.accept("leaf", v.Number, withDeadline(tree, "s000", time.Second))
 	assert.NilError(t, err)
 	assert.Equal(t, b.platform.Counts().Writes-before.Writes, int64(2))
 }
 
-func TestBranchOverAMegabyteIsNamed(t *testing.T) {
-	b := start(t)
+func TestErrorNamesABranchOverOneMegabyte(t *testing.T) {
+	b := newFixture(t)
 	tree := services(1)
 
 	for i := range 20_000 {
@@ -439,8 +440,8 @@
 	assert.ErrorContains(t, err, "branch /s000 has")
 }
 
-func TestAcceptanceIDIsNeeded(t *testing.T) {
-	b := start(t)
+func TestInvalidAcceptanceIDIsRejected(t *testing.T) {
+	b := newFixture(t)
 
 	for _, id := range []string{"", "a/b", strings.Repeat("x", 65)} {
 		_, err := b.accept(id, 0, services(1))
@@ -448,10 +449,10 @@
 	}
 }
 
-// An operator gives up while the platform is slow. The answer comes at once and
-// says what is known.
-func TestOperatorWhoGivesUpGetsAnAnswer(t *testing.T) {
-	b := start(t)
+// The context ends while the platform is slow. Accept returns an error that says
+// whether the tree may have been accepted.
+func TestAcceptReportsAnOutcomeWhenItsContextEnds(t *testing.T) {
+	b := newFixture(t)
 	base := b.first(services(1)).Number
 
 	b.platform.SetFaults(standin.Faults{SlowMs: 200})
--- a/internal/acceptance/collect.go
+++ b/internal/acceptance/collect.go
@@ -6,17 +6,18 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Values are the branch values that a version brought, and those of the version
-// before that it does without.
+// Values are the digests of the branch values that a version added to those of
+// the version before it, and of those that it no longer uses.
 type Values struct {
 	Added    []settings.Digest `msgpack:"Added"`
 	Replaced []settings.Digest `msgpack:"Replaced"`
 }
 
-// valuesOf compares two manifests. A large change is not noted, so that the
-// history stays small; its values then stay on the platform.
-func valuesOf(from, to map[string]settings.Digest) (Values, bool) {
-	const most = 2 * maxChanged
+// compareValues compares two manifests. It reports whether the change is small
+// enough for the history record; the values that a larger change replaces stay on
+// the platform.
+func compareValues(from, to map[string]settings.Digest) (Values, bool) {
+	const maxValues = 2 * maxChanged
 
 	before, after := digestSet(from), digestSet(to)
 
@@ -34,7 +35,7 @@
 		}
 	}
 
-	return v, len(v.Added)+len(v.Replaced) <= most
+	return v, len(v.Added)+len(v.Replaced) <= maxValues
 }
 
 func digestSet(manifest map[string]settings.Digest) map[settings.Digest]bool {
@@ -46,20 +47,21 @@
 	return out
 }
 
-// record is what the platform holds of the newest versions.
+// record is the history record on the platform: the newest versions and the
+// values that each of them added and replaced.
 type record struct {
 	Versions History           `msgpack:"Versions"`
 	Values   map[uint64]Values `msgpack:"Values"`
 }
 
-// with returns the record after the next version, and the keys that no version
-// in it needs any more.
+// with returns the record with the next version added, and the keys that no
+// version in it needs any more. complete says that values lists the whole change.
 //
-// They are deleted in the transaction of the head. An acceptance that counts on
-// such a value meanwhile loses the race for the head, reads it again and writes
-// what the new head lacks; a deletion at any other time could take away what a
-// head that is just being swapped in needs.
-func (r record) with(v settings.Version, values Values, known bool) (record, []string) {
+// The keys are deleted in the transaction that swaps the head. A concurrent
+// acceptance that relies on a deleted value loses the race for the head, reads
+// the state again and writes the missing values. A deletion at any other time
+// could remove a value that a head being swapped in needs.
+func (r record) with(v settings.Version, values Values, complete bool) (record, []string) {
 	next := record{Versions: r.Versions.With(v), Values: map[uint64]Values{}}
 
 	for _, kept := range next.Versions {
@@ -68,7 +70,7 @@
 		}
 	}
 
-	if known {
+	if complete {
 		next.Values[v.Number] = values
 	}
 
@@ -80,8 +82,10 @@
 	return next, next.unused(last[0])
 }
 
-// unused returns the keys of a version that just left the record.
-func (r record) unused(gone settings.Version) []string {
+// unused returns the keys that are no longer needed after the version dropped
+// left the record. It returns none if the change of a remaining version is not
+// recorded, since that version may need any of them.
+func (r record) unused(dropped settings.Version) []string {
 	needed := map[settings.Digest]bool{}
 
 	for _, v := range r.Versions {
@@ -105,8 +109,8 @@
 		}
 	}
 
-	if !slices.ContainsFunc(r.Versions, func(v settings.Version) bool { return v.Digest == gone.Digest }) {
-		keys = append(keys, manifestPrefix+string(gone.Digest))
+	if !slices.ContainsFunc(r.Versions, func(v settings.Version) bool { return v.Digest == dropped.Digest }) {
+		keys = append(keys, manifestPrefix+string(dropped.Digest))
 	}
 
 	return keys
--- a/internal/acceptance/collect_test.go
+++ b/internal/acceptance/collect_test.go
@@ -12,14 +12,13 @@
 	"github.com/pollencart/pollencart/internal/acceptance"
 )
 
-// Thousands of changes a day each leave a branch and a manifest on the platform,
-// which would be full of what nobody reads. Values come back, too: an operator
-// who undoes a change needs one that was about to be deleted. Here edits jump
-// between a few values, and two acceptances race for each number.
-func TestValuesOutOfUseAreDeletedAndNoOther(t *testing.T) {
+// Each of thousands of changes a day adds a branch and a manifest, so unused values
+// would fill the platform. A reverted change reuses a value that is due for
+// deletion, so the edits alternate between a few values.
+func TestOnlyUnusedValuesAreDeleted(t *testing.T) {
 	const versions = 200
 
-	b := start(t)
+	b := newFixture(t)
 	tree := services(4)
 	base := b.first(tree).Number
 	random := rand.New(rand.NewPCG(1, 2))
@@ -28,7 +27,7 @@
 		name := fmt.Sprintf("s%03d", random.IntN(4))
 		tree = withDeadline(tree, name, time.Second*time.Duration(1+random.IntN(3)))
 
-		// Now and then a value that is seen once only.
+		// Every fifth edit adds a value that is used once.
 		if i%5 == 0 {
 			tree = withDeadline(tree, name, time.Second+time.Duration(i))
 		}
@@ -63,10 +62,11 @@
 	assert.Assert(t, branches <= len(history), "%d branches", branches)
 }
 
-// An ID is asked again when the record of it and its base are gone. "Not
-// accepted" would be a guess.
-func TestIDThatIsTooOldIsNotGuessed(t *testing.T) {
-	b := start(t)
+// A retry arrives after the outcome record of its ID and its base version are gone.
+// Whether the tree was accepted can't be determined, so "not accepted" would be
+// wrong.
+func TestRetryWithAForgottenIDIsReportedAsForgotten(t *testing.T) {
+	b := newFixture(t)
 	b.first(services(1))
 
 	_, err := b.acceptor.Accept(t.Context(), acceptance.Request{ID: "old", Again: true, Base: 900, Tree: services(2)})
--- a/internal/acceptance/head.go
+++ b/internal/acceptance/head.go
@@ -12,33 +12,34 @@
 
 // Keys on the platform.
 const (
-	// HeadKey is the one record that says which version is accepted.
+	// HeadKey holds the head record, which identifies the accepted version.
 	HeadKey = "/pollencart/head"
 
 	historyKey     = "/pollencart/history"
 	branchPrefix   = "/pollencart/branch/"
 	manifestPrefix = "/pollencart/manifest/"
-	// idPrefix holds the outcome of each acceptance ID. It is written in the
-	// transaction of the head, so that an ID can be settled long after its
-	// version has left the history.
+	// idPrefix precedes the keys of the outcome records, one for each acceptance
+	// ID. They are written in the transaction that swaps the head, so that a retry
+	// is resolved even after its version has left the history.
 	idPrefix = "/pollencart/acceptance/"
 )
 
-// idKept is how long an ID can be settled after its version has left the
-// history.
-const idKept = 7 * 24 * time.Hour
+// idRetention is the lifetime of an outcome record, by which a retry is resolved
+// after its version has left the history.
+const idRetention = 7 * 24 * time.Hour
 
-// historyLength bounds the history record, and with it how old the base of an
-// edit may be.
+// historyLength is the number of versions in the history record; the base of an
+// edit must be one of them.
 const historyLength = 64
 
-// maxChanged bounds the head record, which each watcher receives at each
-// change; a larger change is read from the manifest.
+// maxChanged is the number of changed paths that a head record lists. It bounds
+// the record, which every watcher receives at each change; a watcher reads a
+// larger change from the manifest.
 const maxChanged = 32
 
-// Head is the accepted version, and what it changed against the version before,
-// so that who holds Base reads only the branches that changed. Base 0 means that
-// the manifest has to be read.
+// Head is the accepted version and its changes against the version Base, so that
+// a node that stores Base reads only the changed branches. Base 0 means that the
+// node has to read the manifest.
 type Head struct {
 	Version settings.Version           `msgpack:"Version"`
 	Base    uint64                     `msgpack:"Base"`
@@ -56,10 +57,10 @@
 	return h, nil
 }
 
-// History is the newest accepted versions, newest first.
+// History lists the most recent accepted versions, newest first.
 type History []settings.Version
 
-// Number returns the version with the number.
+// Number returns the version with the given number.
 func (h History) Number(number uint64) (settings.Version, bool) {
 	i := slices.IndexFunc(h, func(v settings.Version) bool { return v.Number == number })
 	if i < 0 {
@@ -69,7 +70,7 @@
 	return h[i], true
 }
 
-// ID returns the version that an acceptance ID led to.
+// ID returns the version that was accepted under the acceptance ID.
 func (h History) ID(id string) (settings.Version, bool) {
 	i := slices.IndexFunc(h, func(v settings.Version) bool { return v.AcceptanceID == id })
 	if i < 0 {
@@ -79,7 +80,8 @@
 	return h[i], true
 }
 
-// With returns the history with more versions.
+// With returns the history with the versions added; the oldest ones beyond
+// historyLength are dropped.
 func (h History) With(versions ...settings.Version) History {
 	next := slices.Clone(h)
 
--- a/internal/acceptance/rebase.go
+++ b/internal/acceptance/rebase.go
@@ -10,7 +10,8 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// rebase puts the operator's changes on top of what others accepted meanwhile.
+// rebase applies the operator's changes to the current head, which other
+// operators may have changed since the base version.
 func (a *Acceptor) rebase(ctx context.Context, r Request, s state, mine settings.Records) (settings.Records, error) {
 	if s.head.Version.Number == r.Base {
 		return mine, nil
@@ -29,8 +30,8 @@
 	digests := mine.Digests()
 	own := changes(base, digests)
 
-	if both := conflicts(own, changes(base, theirs), digests, theirs); len(both) > 0 {
-		return nil, a.conflict(ctx, r, s, mine, sides{paths: both, base: base, theirs: theirs})
+	if conflicting := conflicts(own, changes(base, theirs), digests, theirs); len(conflicting) > 0 {
+		return nil, a.conflict(ctx, r, s, mine, conflictSides{paths: conflicting, base: base, theirs: theirs})
 	}
 
 	merged, err := a.Records(ctx, theirs, mine)
@@ -51,8 +52,8 @@
 		return nil, err
 	}
 
-	// Two edits that are right by themselves can be wrong together: one removes
-	// a service, the other adds a route to it.
+	// Two valid edits can be invalid together: one removes a service, the other
+	// adds a route to it.
 	return merged, tree.CheckErr()
 }
 
@@ -69,7 +70,7 @@
 	return a.Manifest(ctx, v.Digest)
 }
 
-// changes returns the paths at which the digests differ, in order.
+// changes returns the sorted paths at which the digests differ.
 func changes(from, to map[string]settings.Digest) []string {
 	all := maps.Clone(from)
 	maps.Copy(all, to)
@@ -77,34 +78,35 @@
 	return slices.DeleteFunc(slices.Sorted(maps.Keys(all)), func(path string) bool { return from[path] == to[path] })
 }
 
-// conflicts returns the paths that both sides changed to something different.
+// conflicts returns the paths that both sides changed to different values.
 func conflicts(own, other []string, mine, theirs map[string]settings.Digest) []string {
-	var both []string
+	var paths []string
 
 	for _, path := range own {
 		if slices.Contains(other, path) && mine[path] != theirs[path] {
-			both = append(both, path)
+			paths = append(paths, path)
 		}
 	}
 
-	return both
+	return paths
 }
 
-// sides is what two operators made of the same branches.
-type sides struct {
+// conflictSides holds the conflicting paths, the base manifest and the accepted
+// manifest.
+type conflictSides struct {
 	paths        []string
 	base, theirs map[string]settings.Digest
 }
 
-// conflict tells the second operator what both sides changed, value by value;
-// with the paths alone nobody could decide without asking the other.
-func (a *Acceptor) conflict(ctx context.Context, r Request, s state, mine settings.Records, c sides) error {
-	base, err := a.Records(ctx, only(c.base, c.paths), nil)
+// conflict returns an ErrConflict that lists the changes of both sides, value by
+// value: the paths alone would not let the second operator resolve the conflict.
+func (a *Acceptor) conflict(ctx context.Context, r Request, s state, mine settings.Records, c conflictSides) error {
+	base, err := a.Records(ctx, selectPaths(c.base, c.paths), nil)
 	if err != nil {
 		return err
 	}
 
-	theirs, err := a.Records(ctx, only(c.theirs, c.paths), nil)
+	theirs, err := a.Records(ctx, selectPaths(c.theirs, c.paths), nil)
 	if err != nil {
 		return err
 	}
@@ -113,20 +115,20 @@
 
 	v := s.head.Version
 	fmt.Fprintf(&b, "/%s\nyours, edited from version %d:", strings.Join(c.paths, ", /"), r.Base)
-	lines(&b, settings.DiffRecords(base, only(mine, c.paths)))
+	writeChanges(&b, settings.DiffRecords(base, selectPaths(mine, c.paths)))
 	fmt.Fprintf(&b, "\ntheirs, up to version %d by %q, %q:", v.Number, v.Operator, v.Message)
-	lines(&b, settings.DiffRecords(base, theirs))
+	writeChanges(&b, settings.DiffRecords(base, theirs))
 
 	return ErrConflict.With("%s", b.String())
 }
 
-func lines(b *strings.Builder, list []settings.Change) {
+func writeChanges(b *strings.Builder, list []settings.Change) {
 	for _, c := range list {
 		b.WriteString("\n  " + c.String())
 	}
 }
 
-func only[M ~map[string]V, V any](m M, paths []string) M {
+func selectPaths[M ~map[string]V, V any](m M, paths []string) M {
 	out := M{}
 
 	for _, path := range paths {
--- a/internal/acceptance/repair.go
+++ b/internal/acceptance/repair.go
@@ -8,8 +8,8 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Known is the newest version that a node holds and the versions before it that
-// it has seen.
+// Known is the newest version that a node stores and the history of versions that
+// it has received.
 type Known struct {
 	Snapshot *settings.Snapshot
 	Versions History
@@ -23,10 +23,10 @@
 	return k.Snapshot.Version().Number
 }
 
-// lacks reports whether the accepted version does not go back to the one that
-// the node holds. A higher number alone does not show it: versions accepted on
-// an older copy can have overtaken the numbers that the copy had forgotten.
-func (k Known) lacks(s state) bool {
+// missingFrom reports whether the platform has lost the node's version: the
+// accepted version does not descend from it. Numbers alone do not show this, since
+// versions accepted on an older copy can reach numbers above those that were lost.
+func (k Known) missingFrom(s state) bool {
 	if k.Snapshot == nil {
 		return false
 	}
@@ -35,48 +35,48 @@
 		return false
 	}
 
-	full := len(s.record.Versions) == historyLength
+	historyFull := len(s.record.Versions) == historyLength
 
-	return !full || s.record.Versions[historyLength-1].Number <= k.number()
+	return !historyFull || s.record.Versions[historyLength-1].Number <= k.number()
 }
 
-// forked returns the versions that the platform accepted while it did not know
-// the newest ones, oldest first, and the version that both have in common.
-func (k Known) forked(s state) (forked []settings.Version, common uint64) {
+// diverged returns the versions that the platform accepted on an older copy,
+// oldest first, and the number of the newest version that the node and the
+// platform have in common.
+func (k Known) diverged(s state) (diverged []settings.Version, common uint64) {
 	for _, v := range s.record.Versions {
 		if _, ok := k.Versions.ID(v.AcceptanceID); ok {
-			return forked, v.Number
+			return diverged, v.Number
 		}
 
-		forked = append([]settings.Version{v}, forked...)
+		diverged = append([]settings.Version{v}, diverged...)
 	}
 
-	return forked, 0
+	return diverged, 0
 }
 
-// Outcome of a repair.
+// Outcome is the result of a repair.
 type Outcome struct {
 	Repaired bool
-	// Lost are the acceptances that could not be kept, because both sides changed
-	// the same branches.
+	// Lost lists the accepted versions that could not be kept, because both sides
+	// changed the same branches.
 	Lost []settings.Version
 }
 
-// Repair gives the platform back the version that the node holds, if the
-// platform has lost it.
+// Repair restores the node's version on the platform if the platform has lost it.
 //
-// A platform that comes back from an older copy has forgotten accepted
-// versions. Nodes keep answering with them, and without the repair each later
-// acceptance would be built on a tree that is in force nowhere.
+// A platform that is restored from an older copy lacks accepted versions that
+// nodes still use. Without the repair, each later acceptance would be based on a
+// tree that is active on no node.
 func (a *Acceptor) Repair(ctx context.Context, k Known) (Outcome, error) {
 	s, err := a.state(ctx, "")
-	if err != nil || !k.lacks(s) {
+	if err != nil || !k.missingFrom(s) {
 		return Outcome{}, err
 	}
 
-	forked, common := k.forked(s)
+	diverged, common := k.diverged(s)
 	if s.head.Version.Number >= k.number() {
-		return a.putOnTop(ctx, s, k, common)
+		return a.reacceptLocal(ctx, s, k, common)
 	}
 
 	if err := a.restore(ctx, s, k); err != nil {
@@ -85,8 +85,8 @@
 
 	out := Outcome{Repaired: true}
 
-	for _, v := range forked {
-		err := a.again(ctx, v, common)
+	for _, v := range diverged {
+		err := a.reaccept(ctx, v, common)
 		if errors.Is(err, ErrConflict) {
 			out.Lost = append(out.Lost, v)
 		} else if err != nil {
@@ -97,20 +97,21 @@
 	return out, nil
 }
 
-// putOnTop accepts the node's version anew, above versions that have the same or
-// higher numbers and may be in force elsewhere already.
-func (a *Acceptor) putOnTop(ctx context.Context, s state, k Known, common uint64) (Outcome, error) {
+// reacceptLocal accepts the node's version again, above versions with the same or
+// higher numbers that may already be active on other nodes.
+func (a *Acceptor) reacceptLocal(ctx context.Context, s state, k Known, common uint64) (Outcome, error) {
 	v, head := k.Snapshot.Version(), s.head.Version
 
-	_, err := a.accept(ctx, againRequest(v, common), k.Snapshot.Records())
+	_, err := a.accept(ctx, reacceptRequest(v, common), k.Snapshot.Records())
 	if !errors.Is(err, ErrConflict) {
 		return Outcome{Repaired: err == nil}, err
 	}
 
-	// The platform's version stands. Nodes that hold the other one under the same
-	// number would keep it for good, so it needs a number above both.
+	// The platform's version is kept. Nodes that store the other version under the
+	// same number would never replace it, so the kept one is accepted again with a
+	// number above both.
 	if head.Number == v.Number {
-		err = a.again(ctx, head, head.Number)
+		err = a.reaccept(ctx, head, head.Number)
 	} else {
 		err = nil
 	}
@@ -120,6 +121,8 @@
 	return Outcome{Repaired: true, Lost: []settings.Version{v}}, err
 }
 
+// restore makes the node's version the head again, with the node's history merged
+// into the platform's.
 func (a *Acceptor) restore(ctx context.Context, s state, k Known) error {
 	v := k.Snapshot.Version()
 
@@ -130,13 +133,14 @@
 
 	v.Branches = nil
 
-	// What the restored versions changed is not known, so nothing that they use is
-	// deleted while they are in the record.
+	// The changes of the restored versions are unknown, so the record lists no
+	// values and none are deleted while these versions are in it.
 	return a.swap(ctx, s, Head{Version: v}, record{Versions: s.record.Versions.With(k.Versions...).With(v)}, nil)
 }
 
-// again accepts a version of the older copy anew, on top of what was restored.
-func (a *Acceptor) again(ctx context.Context, v settings.Version, common uint64) error {
+// reaccept accepts a version from the platform again, rebased from the common
+// version onto the current head.
+func (a *Acceptor) reaccept(ctx context.Context, v settings.Version, common uint64) error {
 	manifest, err := a.Manifest(ctx, v.Digest)
 	if err != nil {
 		return err
@@ -147,32 +151,32 @@
 		return err
 	}
 
-	_, err = a.accept(ctx, againRequest(v, common), records)
+	_, err = a.accept(ctx, reacceptRequest(v, common), records)
 
 	return err
 }
 
-func againRequest(v settings.Version, base uint64) Request {
+func reacceptRequest(v settings.Version, base uint64) Request {
 	return Request{ID: v.AcceptanceID + "-again", Base: base, Operator: v.Operator, Message: v.Message}
 }
 
-// swap changes the head, with the record and the outcome of the ID in the same
-// transaction.
+// swap replaces the head record. The same transaction writes the history record
+// and the outcome record of the ID, and deletes the keys in drop.
 func (a *Acceptor) swap(ctx context.Context, s state, next Head, r record, drop []string) error {
-	head, outcome, past, err := encodeAll(next, next.Version, r)
+	head, outcome, history, err := encodeAll(next, next.Version, r)
 	if err != nil {
 		return err
 	}
 
-	lease, err := a.store.Grant(ctx, idKept)
+	lease, err := a.store.Grant(ctx, idRetention)
 	if err != nil {
-		// Nothing was swapped, whatever became of the lease.
+		// The swap was not sent, whether or not the lease was granted.
 		return platform.ErrUnavailable.With("lease: %v", err)
 	}
 
 	_, err = a.store.Swap(ctx, HeadKey, s.revision, head, platform.Drop(drop...), platform.Also(
 		platform.Entry{Key: idPrefix + next.Version.AcceptanceID, Value: outcome, Lease: lease},
-		platform.Entry{Key: historyKey, Value: past},
+		platform.Entry{Key: historyKey, Value: history},
 	))
 
 	return err
--- a/internal/acceptance/store.go
+++ b/internal/acceptance/store.go
@@ -13,22 +13,22 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Bounds of one call with many values. The platform counts calls, so a tree of
-// hundreds of branches must not cost hundreds of them; and a call with too many
-// bytes is refused.
+// Bounds of one platform call that carries many values. The platform limits the
+// rate of calls, so the hundreds of branches of a tree are batched; it rejects a
+// call with too many bytes.
 const (
 	keysPerCall  = 64
 	bytesPerCall = platform.MaxValue
-	// callsAtOnce keeps one large tree from taking the platform's rates alone.
-	callsAtOnce = 4
+	// maxParallelCalls keeps one large tree from using up the platform's call rate.
+	maxParallelCalls = 4
 )
 
-// state is what the platform holds, as of one moment.
+// state is a consistent read of the head, the history and one outcome record.
 type state struct {
 	head     Head
 	record   record
 	revision int64
-	// outcome is the version that the acceptance ID at hand led to, if any.
+	// outcome is the version that was accepted under the requested ID, if any.
 	outcome *settings.Version
 }
 
@@ -65,8 +65,8 @@
 	return s, nil
 }
 
-// Head returns the head and its revision; before the first acceptance both are
-// zero.
+// Head returns the head record and its revision; before the first acceptance both
+// are zero.
 func (a *Acceptor) Head(ctx context.Context) (Head, int64, error) {
 	e, err := a.store.Get(ctx, HeadKey)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -82,19 +82,19 @@
 	return h, e.Revision, err
 }
 
-// History returns the newest accepted versions, newest first.
+// History returns the most recent accepted versions, newest first.
 func (a *Acceptor) History(ctx context.Context) (History, error) {
 	s, err := a.state(ctx, "")
 
 	return s.record.Versions, err
 }
 
-// writeValues writes the branches that the head does not have, and the
-// manifest. Their keys are digests of their values: to write them again after a
-// lost answer, or when another acceptance has written the same, changes nothing.
+// writeValues writes the manifest and the branches that are not in the head's
+// manifest. The keys are digests of the values, so writing a value again after a
+// lost answer or a concurrent acceptance of the same value changes nothing.
 func (a *Acceptor) writeValues(
 	ctx context.Context, tree settings.Digest, digests map[string]settings.Digest, records settings.Records,
-	known map[string]settings.Digest,
+	headManifest map[string]settings.Digest,
 ) error {
 	manifest, err := msgpack.Marshal(digests)
 	if err != nil {
@@ -104,7 +104,7 @@
 	entries := []platform.Entry{{Key: manifestPrefix + string(tree), Value: manifest}}
 
 	for _, path := range slices.Sorted(maps.Keys(digests)) {
-		if known[path] == digests[path] {
+		if headManifest[path] == digests[path] {
 			continue
 		}
 
@@ -116,7 +116,7 @@
 	}
 
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(callsAtOnce)
+	g.SetLimit(maxParallelCalls)
 
 	for _, batch := range batches(entries) {
 		g.Go(func() error { return a.store.PutMany(ctx, batch...) })
@@ -125,6 +125,7 @@
 	return g.Wait()
 }
 
+// batches splits the entries into calls within keysPerCall and bytesPerCall.
 func batches(entries []platform.Entry) [][]platform.Entry {
 	var (
 		out  [][]platform.Entry
@@ -145,7 +146,8 @@
 	return out
 }
 
-// Manifest returns the branch digests of the version with the tree digest.
+// Manifest returns the branch digests, by path, of the version with the given tree
+// digest.
 func (a *Acceptor) Manifest(ctx context.Context, tree settings.Digest) (map[string]settings.Digest, error) {
 	e, err := a.store.Get(ctx, manifestPrefix+string(tree))
 	if err != nil {
@@ -160,7 +162,8 @@
 	return out, nil
 }
 
-// Records returns the records of a manifest, from those at hand where they fit.
+// Records returns the records of a manifest. Records in have with a matching digest
+// are reused; the others are read from the platform.
 func (a *Acceptor) Records(
 	ctx context.Context, manifest map[string]settings.Digest, have settings.Records,
 ) (settings.Records, error) {
@@ -202,7 +205,7 @@
 	found := make([]map[string]platform.Entry, len(parts))
 
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(callsAtOnce)
+	g.SetLimit(maxParallelCalls)
 
 	for i, part := range parts {
 		g.Go(func() (err error) {
@@ -227,7 +230,7 @@
 	return out, nil
 }
 
-// Snapshot reads a version whole, taking from base what has not changed.
+// Snapshot reads a whole version; branches that are unchanged in base are reused.
 func (a *Acceptor) Snapshot(
 	ctx context.Context, v settings.Version, base *settings.Snapshot,
 ) (*settings.Snapshot, error) {
@@ -249,7 +252,7 @@
 	return settings.NewSnapshot(v, records)
 }
 
-// Changed reads the branches that the head changed against its base.
+// Changed reads the branches that the head changed relative to its base.
 func (a *Acceptor) Changed(ctx context.Context, h Head) (settings.Records, error) {
 	return a.Records(ctx, h.Changed, nil)
 }
