--- a/internal/upstream/crash.go
+++ b/internal/upstream/crash.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// probeTime bounds the probe on the own host, where a connection takes well
-	// under a millisecond.
-	probeTime = 50 * time.Millisecond
-	// probes bridge the moment in which a process that ends has closed the
-	// connections of its calls and not yet its listener.
-	probes = 3
+	// probeTimeout bounds a probe on the local host, where connecting takes well under a
+	// millisecond.
+	probeTimeout = 50 * time.Millisecond
+	// probeCount covers the moment in which an exiting process has closed the connections of
+	// its calls but not yet its listener.
+	probeCount = 3
 )
 
-// crashed reports whether the backend server ended while it ran a call whose connection
-// broke. Its process is gone if its host refuses connections. A timeout, and a broken
-// connection to a process that still listens, are not taken for a crash: a slow or
-// panicking call must not make suspects of all that runs beside it.
-func crashed(ctx context.Context, address string) bool {
-	for range probes {
+// hasExited reports whether the backend server's process has exited: its host refuses
+// connections. A timeout, or a broken connection to a process that still listens, does not
+// count as a crash, so that a slow or panicking call does not make suspects of all calls that
+// run at the same time.
+func hasExited(ctx context.Context, address string) bool {
+	for range probeCount {
 		if !listens(ctx, address) {
 			return true
 		}
@@ -36,13 +36,14 @@
 	return false
 }
 
-func broken(err error) bool {
-	return errors.Is(err, errRepeat) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
-		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.EPIPE) || serverClosed(err)
+// isConnectionLoss reports whether the error shows that the connection broke.
+func isConnectionLoss(err error) bool {
+	return errors.Is(err, errTransportRetry) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
+		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.EPIPE) || isServerClosed(err)
 }
 
-// serverClosed matches the error of net/http for which it has no sentinel.
-func serverClosed(err error) bool {
+// isServerClosed matches a net/http error that has no sentinel value.
+func isServerClosed(err error) bool {
 	const text = "http: server closed idle connection"
 
 	for ; err != nil; err = errors.Unwrap(err) {
@@ -54,18 +55,18 @@
 	return false
 }
 
-// listens makes a connection and waits a moment: the kernel still takes
-// connections for a process that is just ending, and then resets them.
+// listens connects and waits briefly for a reset: the kernel still accepts connections for a
+// process that is exiting, and then resets them.
 func listens(ctx context.Context, address string) bool {
-	conn, err := (&net.Dialer{Timeout: probeTime}).DialContext(ctx, "tcp", address)
+	conn, err := (&net.Dialer{Timeout: probeTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return !errors.Is(err, syscall.ECONNREFUSED)
 	}
 	defer func() { _ = conn.Close() }()
 
-	const moment = 5 * time.Millisecond
+	const resetWait = 5 * time.Millisecond
 
-	_ = conn.SetReadDeadline(time.Now().Add(moment))
+	_ = conn.SetReadDeadline(time.Now().Add(resetWait))
 
 	var b [1]byte
 
@@ -76,37 +77,37 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// brokeOff tells what became of a call that ended without an answer, and returns the error
-// that says so.
-func (h *Host) brokeOff(ctx context.Context, c call.Call, a Announcement, err error) error {
-	// Nobody waits any more, perhaps since the entry was killed. Whether the call ended the
-	// backend server shows later. A crash in which only such calls ran was not counted, and
-	// one request ended three backend servers.
+// classifyFailure determines why a call ended without an answer and returns the matching
+// error.
+func (h *Host) classifyFailure(ctx context.Context, c call.Call, a Announcement, err error) error {
+	// The call was canceled, for example because its entry node was killed. ErrBrokenOff lets
+	// the gate count a later crash against it; without that, a single request crashed three
+	// backend servers.
 	if errors.Is(ctx.Err(), context.Canceled) {
-		h.recorder.Record(event.UpstreamBroke, timeline.Entry{Call: c.ID, Key: c.Key, Detail: "given up: " + err.Error()})
+		h.recorder.Record(event.UpstreamBroke, timeline.Entry{Call: c.ID, Key: c.Key, Detail: "call canceled: " + err.Error()})
 
 		return call.Refuse(ErrNoAnswer.Wrap(ErrBrokenOff.Wrap(err)), call.RanUnknown, time.Second)
 	}
 
-	if ctx.Err() != nil || !broken(err) {
+	if ctx.Err() != nil || !isConnectionLoss(err) {
 		return err
 	}
 
-	if !crashed(ctx, a.Address) {
-		h.recorder.Record(event.UpstreamBroke, timeline.Entry{Call: c.ID, Key: c.Key, Detail: "listens: " + err.Error()})
+	if !hasExited(ctx, a.Address) {
+		h.recorder.Record(event.UpstreamBroke, timeline.Entry{Call: c.ID, Key: c.Key, Detail: "address accepts connections: " + err.Error()})
 
 		return call.Refuse(ErrNoAnswer.Wrap(ErrBrokenOff.Wrap(err)), call.RanUnknown, time.Second)
 	}
 
-	h.recorder.Record(event.UpstreamBroke, timeline.Entry{Call: c.ID, Key: c.Key, Detail: "refuses connections: " + err.Error()})
-	h.lose(c, a)
+	h.recorder.Record(event.UpstreamBroke, timeline.Entry{Call: c.ID, Key: c.Key, Detail: "address refuses connections: " + err.Error()})
+	h.withdrawCrashed(c, a)
 
 	return call.Refuse(ErrCrashed.Wrap(err), call.RanUnknown, time.Second)
 }
 
-// lose withdraws a backend server that ended at once, before its announcement
-// runs out, unless another one has announced itself since.
-func (h *Host) lose(c call.Call, ended Announcement) {
+// withdrawCrashed withdraws a crashed backend server before its announcement expires, unless
+// another one has announced itself since.
+func (h *Host) withdrawCrashed(c call.Call, ended Announcement) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
@@ -114,7 +115,7 @@
 		return
 	}
 
-	h.recorder.Record(event.UpstreamLost, timeline.Entry{Call: c.ID, Detail: ended.Service + " ended while it ran a call"})
-	h.connectAnew(ended.Connections)
+	h.recorder.Record(event.UpstreamLost, timeline.Entry{Call: c.ID, Detail: ended.Service + " exited while it ran a call"})
+	h.resetClient(ended.Connections)
 	h.withdraw()
 }
--- a/internal/upstream/damping.go
+++ b/internal/upstream/damping.go
@@ -6,44 +6,43 @@
 	"github.com/pollencart/pollencart/pkg/upstream"
 )
 
-// damping holds back a backend server that flaps.
+// damping delays the Ready state of a backend server that flaps.
 //
-// A server that crashes and starts again, or a health check of it that goes up
-// and down, changes its state several times a second. Each change goes round the
-// whole fleet, and each time it is ready calls are sent to it that then fail. So
-// it is told at once that it is not ready; that it is ready again is told at once
-// the first time, and after a pause that doubles when it happens again soon.
+// A server that crashes repeatedly, or whose health check alternates, changes its state
+// several times a second. Each change is propagated to the whole fleet, and calls sent to the
+// server while it is briefly ready fail. The loss of readiness is published at once. The
+// first return to Ready is published at once too; after repeated losses it is delayed by a
+// time that doubles with each loss.
 type damping struct {
-	losses int
-	lost   time.Time
+	losses   int
+	lastLoss time.Time
 }
 
 const (
-	// calm is how long a server must stay up for its losses to be forgotten.
-	calm = time.Minute
-	// firstHold is the pause after the second loss, maxHold the longest one. Two
-	// seconds are as long as a change takes to be known everywhere; half a minute
-	// bounds what a repaired server waits.
+	// stableTime without a loss resets the count of losses.
+	stableTime = time.Minute
+	// firstHold is the delay after the second loss, as long as a change takes to reach all
+	// nodes; maxHold bounds the delay of a repaired server.
 	firstHold = 2 * time.Second
 	maxHold   = 30 * time.Second
 )
 
-// lose notes that a ready server is ready no more.
-func (d *damping) lose(now time.Time) {
-	if now.Sub(d.lost) >= calm {
+// recordLoss records that a ready server is no longer ready.
+func (d *damping) recordLoss(now time.Time) {
+	if now.Sub(d.lastLoss) >= stableTime {
 		d.losses = 0
 	}
 
 	d.losses++
-	d.lost = now
+	d.lastLoss = now
 }
 
-// state returns what others are told when the server says s and they were told
-// told before. Between the losses of a server that flaps they hear nothing: that
-// it is not ready is all they need to know.
-func (d *damping) state(s, told upstream.State, now time.Time) upstream.State {
-	if told != upstream.Ready && now.Before(d.lost.Add(d.hold())) {
-		return told
+// state returns the state to publish for a server that announces s, after published. While
+// the server is held back the published state does not change: other nodes only need to know
+// that it is not ready.
+func (d *damping) state(s, published upstream.State, now time.Time) upstream.State {
+	if published != upstream.Ready && now.Before(d.lastLoss.Add(d.hold())) {
+		return published
 	}
 
 	return s
@@ -54,7 +53,7 @@
 		return 0
 	}
 
-	const most = 5 // doublings that reach the longest pause
+	const maxDoublings = 5 // beyond them the delay is maxHold
 
-	return min(firstHold<<min(d.losses-2, most), maxHold)
+	return min(firstHold<<min(d.losses-2, maxDoublings), maxHold)
 }
--- a/internal/upstream/host_test.go
+++ b/internal/upstream/host_test.go
@@ -19,10 +19,10 @@
 )
 
 type fixture struct {
-	table *membership.Table
-	queue *admission.Queue
-	host  *upstream.Host
-	told  []membership.UpstreamState
+	table  *membership.Table
+	queue  *admission.Queue
+	host   *upstream.Host
+	states []membership.UpstreamState
 }
 
 func newFixture() *fixture {
@@ -30,7 +30,7 @@
 	r := timeline.New()
 	f.table = membership.NewTable(membership.Record{ID: "a", Incarnation: 1, PeerAddress: "127.0.0.1:1"}, r)
 	f.host = upstream.New(f.table, f.queue, r, upstream.Changed(func() {
-		f.told = append(f.told, f.table.Self().Upstream.State)
+		f.states = append(f.states, f.table.Self().Upstream.State)
 	}))
 
 	return f
@@ -40,15 +40,15 @@
 	t.Helper()
 
 	assert.NilError(t, f.host.Announce(upstream.Announcement{
-		Service: "browse", Address: nowhere, Slots: 10, Connections: 100, State: s, TTL: settings.Duration(2 * time.Second),
+		Service: "browse", Address: unusedAddress, Slots: 10, Connections: 100, State: s, TTL: settings.Duration(2 * time.Second),
 	}))
 }
 
-const nowhere = "127.0.0.1:9"
+const unusedAddress = "127.0.0.1:9"
 
-// A backend server hangs or dies without a word. Calls would go on being sent to
-// it until somebody noticed.
-func TestWithoutRenewalABackendServerIsGone(t *testing.T) {
+// A backend server that hangs or crashes without notice stops renewing its announcement.
+// Without expiry, calls would still be sent to it.
+func TestBackendServerIsWithdrawnWithoutRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
 		f.announce(t, membership.UpstreamWarming)
@@ -66,10 +66,10 @@
 	})
 }
 
-// A node is frozen longer than the announcement holds, and wakes with calls in
-// its connections before its own timers have run. Its backend server may have
-// left long ago; it must refuse them as not run.
-func TestAnAnnouncementThatRanOutTakesNoCall(t *testing.T) {
+// A node stalls for longer than its announcement lasts and resumes with calls in its
+// connections before its timers run. The backend server may have left long ago, so the calls
+// are refused as not run.
+func TestExpiredAnnouncementRunsNoCall(t *testing.T) {
 	ran := 0
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { ran++ }))
 
@@ -96,10 +96,9 @@
 	assert.Equal(t, ran, 1)
 }
 
-// A backend server crashes and starts again twice a second. Undamped, each time
-// it is ready callers' requests are sent to it and fail, and each change goes
-// round the whole fleet.
-func TestAFlappingBackendServerIsHeldBack(t *testing.T) {
+// A backend server crashes and restarts once a second. Without damping, calls would be sent
+// to it and fail at each start, and each change would be propagated to the whole fleet.
+func TestFlappingBackendServerIsDamped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
 
@@ -114,17 +113,16 @@
 
 		ready := 0
 
-		for _, s := range f.told {
+		for _, s := range f.states {
 			if s == membership.UpstreamReady {
 				ready++
 			}
 		}
 
-		t.Logf("told ready %d times in %d s of flapping, %d changes", ready, seconds, len(f.told))
-		assert.Assert(t, ready <= 7, "told ready %d times", ready)
-		// Held back it says Warming and Gone in turn; others need only hear that it
-		// takes no calls.
-		assert.Assert(t, len(f.told) <= 20, "%d changes", len(f.told))
+		t.Logf("published Ready %d times in %d s of flapping, %d changes", ready, seconds, len(f.states))
+		assert.Assert(t, ready <= 7, "published Ready %d times", ready)
+		// While it is held back, its changes of state are not published.
+		assert.Assert(t, len(f.states) <= 20, "%d changes", len(f.states))
 
 		f.announce(t, membership.UpstreamReady)
 
@@ -137,9 +135,8 @@
 	})
 }
 
-// The first restart of a backend server is an everyday matter, and must not cost
-// its service capacity.
-func TestOneRestartIsNotHeldBack(t *testing.T) {
+// The first restart of a backend server is routine and must not cost the service capacity.
+func TestFirstRestartIsNotDamped(t *testing.T) {
 	f := newFixture()
 	for _, s := range []membership.UpstreamState{
 		membership.UpstreamWarming, membership.UpstreamReady, membership.UpstreamDraining, membership.UpstreamGone,
@@ -150,8 +147,8 @@
 	}
 }
 
-// Whatever a backend server announces during a stop of its node must not open the gate again.
-func TestAnnouncementsDuringAStopOpenNothing(t *testing.T) {
+// No announcement of a backend server may reopen the queue while its node drains.
+func TestAnnouncementsDuringADrainAdmitNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		states := []membership.UpstreamState{
 			membership.UpstreamReady, membership.UpstreamReady, membership.UpstreamDraining, membership.UpstreamReady,
--- a/internal/upstream/options.go
+++ b/internal/upstream/options.go
@@ -2,13 +2,13 @@
 
 // Options of a host.
 type Options struct {
-	// Changed is called after the own record changed.
+	// Changed is called after the local member record changed.
 	Changed func()
-	// Restarted is called after another process of the backend server announced itself.
+	// Restarted is called after a new instance of the backend server announced itself.
 	Restarted func()
 }
 
-// Option sets an option.
+// Option configures a Host.
 type Option func(*Options)
 
 func newOptions(opts ...Option) Options {
@@ -20,8 +20,9 @@
 	return o
 }
 
-// Changed sets who is told that the own record changed.
+// Changed sets the function that is called after the local member record changed.
 func Changed(f func()) Option { return func(o *Options) { o.Changed = f } }
 
-// Restarted sets who is told that the backend server was started again.
+// Restarted sets the function that is called after a new instance of the backend server
+// announced itself.
 func Restarted(f func()) Option { return func(o *Options) { o.Restarted = f } }
--- a/internal/upstream/run.go
+++ b/internal/upstream/run.go
@@ -30,17 +30,18 @@
 	ErrTooLarge  = errs.New("upstream.too_large", http.StatusBadGateway, "the answer is over the limit")
 )
 
-// MaxAnswer bounds the body of an answer, so that it fits a frame.
+// MaxAnswer is the maximum size of an answer's body in bytes, so that an answer fits into a
+// frame.
 const MaxAnswer = 4 << 20
 
-// Headers towards the backend server.
+// Headers of requests to the backend server and of its answers.
 const (
 	HeaderCall     = "Pollencart-Call"
 	HeaderDeadline = "Pollencart-Deadline-Ms"
 	HeaderAttempt  = "Pollencart-Attempt"
 	HeaderDepth    = "Pollencart-Depth"
-	// HeaderNotRun is set by a backend server on an answer to a call that it
-	// shed before running any of it.
+	// HeaderNotRun marks the answer to a call that the backend server shed without running any
+	// part of it.
 	HeaderNotRun = "Pollencart-Not-Run"
 	HeaderKey    = "Idempotency-Key"
 )
@@ -57,22 +58,21 @@
 	}
 }
 
-// onceBody hides the body from the transport's own retry. net/http sends a
-// request again by itself after a broken connection if it carries an
-// Idempotency-Key and its body can be replayed; an upload would run twice. A
-// body of this type can't be replayed.
-type onceBody struct{ io.Reader }
+// unreplayableBody prevents net/http from retrying a request. After a broken connection
+// net/http retries a request that has an Idempotency-Key and a replayable body, so that an
+// upload would run twice.
+type unreplayableBody struct{ io.Reader }
 
-func (onceBody) Close() error { return nil }
+func (unreplayableBody) Close() error { return nil }
 
-// Run sends the call to the backend server and returns its whole answer. The
-// error is a Refusal that says whether the call may have run.
+// Run sends the call to the backend server and returns its whole answer. The error is a
+// Refusal that says whether the call may have run.
 func (h *Host) Run(ctx context.Context, c call.Call) (call.Answer, error) {
 	h.mu.Lock()
 	client, current, expired := h.client, h.current, h.expired()
 	h.mu.Unlock()
 
-	// The entry may believe what was true before this host got another service.
+	// The entry node's view may be older than a change of the service on this host.
 	if client == nil || current.Service != c.Service || expired {
 		return call.Answer{}, call.Refuse(ErrNone, call.RanNo, time.Second)
 	}
@@ -84,39 +84,40 @@
 
 	invariant.Check(h.recorder, invariant.ServicesAreKnown, c.Service == current.Service, timeline.Entry{Call: c.ID})
 
-	if !h.start(c) {
+	if !h.recordStart(c) {
 		return call.Answer{}, call.Refuse(ErrTwice, call.RanUnknown, 0)
 	}
 
 	a, err := exchange(client, req)
 
 	if errors.Is(err, ErrNoAnswer) {
-		err = h.brokeOff(ctx, c, current, err)
+		err = h.classifyFailure(ctx, c, current, err)
 	}
 
 	var r *call.Refusal
-	if watched(c) && errors.As(err, &r) && r.Ran == call.RanNo {
+	if tracksKey(c) && errors.As(err, &r) && r.Ran == call.RanNo {
 		h.keys.NotRun(c.Key)
 	}
 
 	return a, err
 }
 
-// start reports whether the call may go to the backend server. The decision was
-// taken before; this is the last place that can see a key go out twice.
-func (h *Host) start(c call.Call) bool {
-	return !watched(c) || h.keys.Start(c.Key, c.ID)
+// recordStart records that the call's key is sent to the backend server and reports whether
+// it was not sent before. It is the last check against sending a key twice.
+func (h *Host) recordStart(c call.Call) bool {
+	return !tracksKey(c) || h.keys.Start(c.Key, c.ID)
 }
 
-func watched(c call.Call) bool { return !c.Idempotent && c.Key != "" }
+// tracksKey reports whether the call's key must be sent to the backend server only once.
+func tracksKey(c call.Call) bool { return !c.Idempotent && c.Key != "" }
 
-// errRepeat ends a request that net/http would send a second time by itself.
-var errRepeat = errors.New("the connection ended without an answer")
+// errTransportRetry cancels a request that net/http is about to retry.
+var errTransportRetry = errors.New("the connection ended without an answer")
 
-// exchange sends the request once. After a broken connection net/http sends a GET again
-// by itself; if the backend server was started again in between, one attempt of a request
-// that ends backend servers would end two, and count as one. So the second connection is
-// closed before anything is written on it.
+// exchange sends the request once. After a broken connection net/http retries a GET; if the
+// backend server has restarted meanwhile, one attempt of a crashing request would crash two
+// instances and count as one. The second connection is therefore closed before anything is
+// written to it.
 func exchange(client *http.Client, req *http.Request) (call.Answer, error) {
 	var wrote atomic.Bool
 
@@ -127,7 +128,7 @@
 		WroteHeaders: func() { wrote.Store(true) },
 		GotConn: func(info httptrace.GotConnInfo) {
 			if wrote.Load() {
-				cancel(errRepeat)
+				cancel(errTransportRetry)
 
 				_ = info.Conn.Close()
 			}
@@ -136,11 +137,11 @@
 
 	resp, err := client.Do(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
-		if cause := context.Cause(ctx); errors.Is(cause, errRepeat) {
+		if cause := context.Cause(ctx); errors.Is(cause, errTransportRetry) {
 			err = cause
 		}
 
-		return call.Answer{}, refuse(err, wrote.Load())
+		return call.Answer{}, refusalOf(err, wrote.Load())
 	}
 	defer func() { _ = resp.Body.Close() }()
 
@@ -153,7 +154,7 @@
 		return nil, err
 	}
 
-	req.Body = onceBody{bytes.NewReader(c.Body)}
+	req.Body = unreplayableBody{bytes.NewReader(c.Body)}
 	req.ContentLength = int64(len(c.Body))
 
 	if len(c.Body) == 0 && c.Idempotent {
@@ -179,12 +180,11 @@
 	return req, nil
 }
 
-// refuse tells a call that never reached the backend server from one that may
-// have run: only a failed connection attempt is proof that no byte went out, and
-// only if none went out before. The transport sends a GET again by itself after
-// its connection broke; the connection refused to the second hides that the
-// first one ran, and ended the backend server.
-func refuse(err error, wrote bool) error {
+// refusalOf distinguishes a call that never reached the backend server from one that may
+// have run. Only a failed connection attempt with nothing written before proves that the call
+// did not run: net/http retries a GET after its connection broke, and the refused second
+// connection hides that the first request ran and crashed the backend server.
+func refusalOf(err error, wrote bool) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" && !wrote {
 		return call.Refuse(ErrUnreached.Wrap(err), call.RanNo, time.Second)
--- a/internal/upstream/run_test.go
+++ b/internal/upstream/run_test.go
@@ -23,22 +23,22 @@
 	announce "github.com/pollencart/pollencart/pkg/upstream"
 )
 
-// server is a backend server made of plain connections. It answers the first
-// request of a connection and does as it is told with later ones.
+// server is a backend server on plain connections. It answers the first request of a
+// connection and calls onSecond for the second.
 type server struct {
 	listener net.Listener
 	requests atomic.Int32
-	second   func(s *server, c net.Conn)
+	onSecond func(s *server, c net.Conn)
 }
 
-func serve(t *testing.T, second func(*server, net.Conn)) *server {
+func startServer(t *testing.T, onSecond func(*server, net.Conn)) *server {
 	t.Helper()
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
 
-	s := &server{listener: l, second: second}
+	s := &server{listener: l, onSecond: onSecond}
 
 	go func() {
 		for {
@@ -69,7 +69,7 @@
 		s.requests.Add(1)
 
 		if !first {
-			s.second(s, c)
+			s.onSecond(s, c)
 
 			return
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-func hostOf(t *testing.T, s *server) *upstream.Host {
+func newHost(t *testing.T, s *server) *upstream.Host {
 	t.Helper()
 
 	r := timeline.New()
@@ -98,26 +98,25 @@
 	}
 }
 
-// closeConn breaks the connection in the middle of a call, as a backend server
-// does whose handler panics.
+// closeConn breaks the connection during a call, as a panicking handler does.
 func closeConn(*server, net.Conn) {}
 
-// endProcess closes the listener too: the process ends.
+// endProcess closes the listener too, as an exiting process does.
 func endProcess(s *server, _ net.Conn) { _ = s.listener.Close() }
 
-func endLater(s *server, c net.Conn) {
+func endProcessLater(s *server, c net.Conn) {
 	time.Sleep(50 * time.Millisecond)
 	endProcess(s, c)
 }
 
-// The connection to a backend server breaks after an upload was sent and before
-// its answer came. net/http sends a request with an Idempotency-Key once more by
-// itself, and the donation would be booked twice although the mesh sent it once.
-func TestTheTransportDoesNotRepeatAnUpload(t *testing.T) {
+// The connection to a backend server breaks between an upload and its answer. net/http
+// retries a request with an Idempotency-Key, and the donation would be booked twice although
+// the mesh sent it once.
+func TestTransportDoesNotRetryAnUpload(t *testing.T) {
 	for name, body := range map[string]string{"with a body": "gift aid", "without": ""} {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, closeConn)
-			h := hostOf(t, s)
+			s := startServer(t, closeConn)
+			h := newHost(t, s)
 
 			_, err := h.Run(t.Context(), upload("1", body))
 			assert.NilError(t, err)
@@ -129,9 +128,9 @@
 	}
 }
 
-// The control of the test above: without the guard the transport does repeat.
-func TestThePlainTransportRepeatsAnUpload(t *testing.T) {
-	s := serve(t, closeConn)
+// Control for TestTransportDoesNotRetryAnUpload: a plain transport does retry.
+func TestPlainTransportRetriesAnUpload(t *testing.T) {
+	s := startServer(t, closeConn)
 	client := &http.Client{Transport: &http.Transport{}}
 
 	for range 2 {
@@ -149,10 +148,9 @@
 	assert.Equal(t, s.requests.Load(), int32(3))
 }
 
-// A crash makes suspects of all that ran. A timeout, or a handler that panics in
-// a process that lives on, must not: a slow call would get its neighbours
-// refused.
-func TestOnlyTheEndOfTheProcessIsACrash(t *testing.T) {
+// A crash makes suspects of all running calls. A timeout, or a panicking handler in a process
+// that keeps running, must not: a slow call would get unrelated calls rejected.
+func TestOnlyAnExitedProcessCountsAsACrash(t *testing.T) {
 	for name, c := range map[string]struct {
 		second  func(*server, net.Conn)
 		timeout time.Duration
@@ -161,11 +159,11 @@
 		"process ended":     {endProcess, time.Minute, upstream.ErrCrashed},
 		"connection closed": {closeConn, time.Minute, upstream.ErrNoAnswer},
 		"no answer in time": {func(*server, net.Conn) { time.Sleep(200 * time.Millisecond) }, 20 * time.Millisecond, upstream.ErrNoAnswer},
-		"ended later":       {endLater, 20 * time.Millisecond, upstream.ErrNoAnswer},
+		"ended later":       {endProcessLater, 20 * time.Millisecond, upstream.ErrNoAnswer},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, c.second)
-			h := hostOf(t, s)
+			s := startServer(t, c.second)
+			h := newHost(t, s)
 
 			_, err := h.Run(t.Context(), upload("1", "x"))
 			assert.NilError(t, err)
@@ -184,13 +182,12 @@
 	}
 }
 
-// A folder open ends the backend server over a connection that was used before.
-// The transport sends the GET again by itself, finds nobody listening, and the
-// error looks like a call that never reached anybody: the crash would not be
-// counted, and the mesh would go on to the next backend server.
-func TestACrashIsSeenBehindTheTransportsOwnRepeat(t *testing.T) {
-	s := serve(t, endProcess)
-	h := hostOf(t, s)
+// A GET crashes the backend server over a reused connection. The transport's retry is refused,
+// which looks like a call that never reached the backend server: the crash would not be
+// counted, and the mesh would retry the call on the next backend server.
+func TestCrashIsDetectedDespiteTheTransportsRetry(t *testing.T) {
+	s := startServer(t, endProcess)
+	h := newHost(t, s)
 	open := call.Call{ID: "1", Service: "ledger", Method: http.MethodGet, URI: "/folders/1", Idempotent: true, Class: settings.ClassInteractive}
 
 	_, err := h.Run(t.Context(), open)
@@ -208,12 +205,12 @@
 	assert.Equal(t, r.Ran, call.RanNo, "nobody listens: %v", err)
 }
 
-// A folder open ends the backend server, and a supervisor starts it again within a
-// moment, so that the transport's own repeat of the GET finds somebody who listens: one
-// attempt would end two backend servers, and be counted as one.
-func TestTheTransportDoesNotRepeatACallThatBrokeOff(t *testing.T) {
-	s := serve(t, closeConn)
-	h := hostOf(t, s)
+// A GET crashes the backend server, and a supervisor restarts it so fast that the transport's
+// retry would reach the new instance: one attempt would crash two instances and count as
+// one.
+func TestTransportDoesNotRetryACallWhoseConnectionBroke(t *testing.T) {
+	s := startServer(t, closeConn)
+	h := newHost(t, s)
 	open := call.Call{ID: "1", Service: "ledger", Method: http.MethodGet, URI: "/folders/1", Idempotent: true, Class: settings.ClassInteractive}
 
 	_, err := h.Run(t.Context(), open)
@@ -227,10 +224,10 @@
 	assert.NilError(t, err)
 }
 
-// A backend server is stopped and started again at its address. Uploads were sent on the
-// connections of the one before, and ended in "unknown" though none had run.
-func TestConnectionsToAnEarlierStartAreLeft(t *testing.T) {
-	s := serve(t, closeConn)
+// A backend server restarts at the same address. Uploads sent on connections to the earlier
+// instance would end with an unknown outcome although none had run.
+func TestRestartDropsConnectionsToTheEarlierInstance(t *testing.T) {
+	s := startServer(t, closeConn)
 	restarts := 0
 	r := timeline.New()
 	h := upstream.New(membership.NewTable(membership.Record{ID: "a", PeerAddress: "127.0.0.1:1"}, r), admission.New(), r,
@@ -251,11 +248,11 @@
 	}
 }
 
-// The entry of a call is killed while the call runs, and with it the wait for the answer.
-// Whether the call ended the backend server is still to be found out.
-func TestACallThatWasGivenUpMayHaveEndedTheBackendServer(t *testing.T) {
-	s := serve(t, func(*server, net.Conn) { time.Sleep(time.Second) })
-	h := hostOf(t, s)
+// The entry node of a call is killed while the call runs, which cancels the call. The call may
+// still crash the backend server, so the result is ErrBrokenOff.
+func TestCanceledCallIsReportedAsBrokenOff(t *testing.T) {
+	s := startServer(t, func(*server, net.Conn) { time.Sleep(time.Second) })
+	h := newHost(t, s)
 
 	_, err := h.Run(t.Context(), upload("1", "x"))
 	assert.NilError(t, err)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream speaks HTTP with the backend server on this host: it takes
-// its announcements and runs calls on it.
+// Package upstream connects a node to the backend server on its host: it accepts the
+// server's announcements and runs calls on it over HTTP.
 //
 //	h := upstream.New(table, queue, recorder)
 //	h.Announce(upstream.Announcement{Service: "browse", Address: "127.0.0.1:9000", ...})
@@ -19,13 +19,13 @@
 	"github.com/pollencart/pollencart/pkg/upstream"
 )
 
-// ErrAnnouncement is returned for an announcement that does not check.
+// ErrAnnouncement is returned for an invalid announcement.
 var ErrAnnouncement = upstream.ErrAnnouncement
 
-// Announcement is what a backend server says of itself, and renews.
+// Announcement is the description of itself that a backend server sends and renews.
 type Announcement = upstream.Announcement
 
-// Host is the backend server on this host.
+// Host represents the local backend server.
 type Host struct {
 	table    *membership.Table
 	queue    *admission.Queue
@@ -33,13 +33,13 @@
 	options  Options
 	keys     *invariant.Keys
 
-	mu      sync.Mutex
-	current Announcement // what the backend server said last
-	told    Announcement // what the others were told last
-	expires time.Time
-	damping damping
-	leaving bool
-	client  *http.Client
+	mu        sync.Mutex
+	current   Announcement // the last announcement of the backend server
+	published Announcement // the last announcement published to other nodes
+	expires   time.Time
+	damping   damping
+	draining  bool
+	client    *http.Client
 }
 
 // New returns a host without a backend server.
@@ -47,7 +47,7 @@
 	return &Host{table: t, queue: q, recorder: r, options: newOptions(opts...), keys: invariant.NewKeys(r)}
 }
 
-// Announce takes an announcement or its renewal.
+// Announce handles an announcement or its renewal.
 func (h *Host) Announce(a Announcement) error {
 	if err := a.Check(); err != nil {
 		return err
@@ -56,26 +56,26 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	again := h.startedAgain(a)
-	if again || h.current.Address != a.Address || h.current.Connections != a.Connections {
-		h.connectAnew(a.Connections)
+	restarted := h.isRestart(a)
+	if restarted || h.current.Address != a.Address || h.current.Connections != a.Connections {
+		h.resetClient(a.Connections)
 	}
 
 	h.current = a
 	h.expires = time.Now().Add(time.Duration(a.TTL))
-	h.tell()
+	h.publishIfChanged()
 
-	if again {
+	if restarted {
 		h.options.Restarted()
 	}
 
 	return nil
 }
 
-// startedAgain reports whether another process of the backend server speaks than before.
-// One that does not tell its start is taken for another one if the last had said that it
-// is gone.
-func (h *Host) startedAgain(a Announcement) bool {
+// isRestart reports whether the announcement comes from another instance of the backend
+// server than the last one. Without a start ID, an announcement after Gone counts as a
+// restart.
+func (h *Host) isRestart(a Announcement) bool {
 	if a.Start != "" && h.current.Start != "" {
 		return a.Start != h.current.Start
 	}
@@ -83,9 +83,9 @@
 	return h.current.State == upstream.Gone && a.State != upstream.Gone
 }
 
-// connectAnew leaves the connections to a process that ended. A call that is sent on one
-// of them can't be told from a call that ran.
-func (h *Host) connectAnew(connections int) {
+// resetClient drops the connections to an instance that has exited. A call sent on one of
+// them can't be distinguished from a call that ran.
+func (h *Host) resetClient(connections int) {
 	if h.client != nil {
 		h.client.CloseIdleConnections()
 	}
@@ -93,20 +93,20 @@
 	h.client = newClient(connections)
 }
 
-// Leave lets nothing new in from now on, since the node on this host stops. The
-// backend server does not know and goes on announcing itself as ready; without
-// this its next renewal would open the gate again.
+// Leave admits no further calls, since the node is draining. The backend server is not
+// informed and goes on announcing itself as ready; its next renewal must not reopen the
+// queue.
 func (h *Host) Leave() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	h.leaving = true
+	h.draining = true
 	if h.current.Service != "" {
-		h.tell()
+		h.publishIfChanged()
 	}
 }
 
-// Withdraw notes that the backend server is gone.
+// Withdraw marks the backend server as gone.
 func (h *Host) Withdraw() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,11 +120,12 @@
 	}
 
 	h.current.State = upstream.Gone
-	h.tell()
+	h.publishIfChanged()
 }
 
-// Expire withdraws a backend server that did not renew. It crashed or hangs;
-// without this, calls would go on being sent to it.
+// Expire withdraws a backend server that has not renewed its announcement because it crashed
+// or hangs; otherwise calls would still be sent to it. It also publishes a state that was
+// held back.
 func (h *Host) Expire() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -138,30 +139,30 @@
 		h.withdraw()
 	}
 
-	h.tell()
+	h.publishIfChanged()
 }
 
-// expired reports whether the announcement ran out. It is looked at for each
-// call too: a process that was frozen wakes before its own timers have run, and
-// would send calls to a backend server that left long ago.
+// expired reports whether the announcement has expired. Each call checks it too: after a
+// process stall, calls run before the timers do, and the backend server may have left long
+// ago.
 func (h *Host) expired() bool { return time.Now().After(h.expires) }
 
-// tell tells the others if there is news.
-func (h *Host) tell() {
+// publishIfChanged publishes the announcement if it differs from the last published one.
+func (h *Host) publishIfChanged() {
 	now := time.Now()
 
-	if h.told.State == upstream.Ready && h.current.State != upstream.Ready {
-		h.damping.lose(now)
+	if h.published.State == upstream.Ready && h.current.State != upstream.Ready {
+		h.damping.recordLoss(now)
 	}
 
-	next := h.current.WithState(h.damping.state(h.current.State, h.told.State, now))
-	if h.leaving && next.State != upstream.Gone {
+	next := h.current.WithState(h.damping.state(h.current.State, h.published.State, now))
+	if h.draining && next.State != upstream.Gone {
 		next.State = upstream.Draining
 	}
 
-	if next != h.told {
-		h.publish(h.told, next)
-		h.told = next
+	if next != h.published {
+		h.publish(h.published, next)
+		h.published = next
 	}
 }
 
@@ -173,6 +174,7 @@
 	return h.current
 }
 
+// publish applies an announcement to the queue and the local member record.
 func (h *Host) publish(old, a Announcement) {
 	if old.Service == "" {
 		h.recorder.Record(event.UpstreamJoined, timeline.Entry{Detail: a.Service + " " + string(a.State)})
