--- a/internal/acceptance/acceptance_test.go
+++ b/internal/acceptance/acceptance_test.go
@@ -315,7 +315,7 @@
 	tree := services(3)
 	b.first(tree)
 
-	old := b.platform.Snapshot()
+	olderCopy := b.platform.Snapshot()
 
 	_, err := b.accept("second", 1, withDeadline(tree, "s000", time.Second))
 	assert.NilError(t, err)
@@ -324,7 +324,7 @@
 	known.Versions, err = b.acceptor.History(t.Context())
 	assert.NilError(t, err)
 
-	b.platform.Restore(old)
+	b.platform.Restore(olderCopy)
 
 	_, err = b.accept("fork", 1, withDeadline(tree, "s001", time.Second))
 	assert.NilError(t, err)
@@ -349,7 +349,7 @@
 		tree := services(3)
 		b.first(tree)
 
-		old := b.platform.Snapshot()
+		olderCopy := b.platform.Snapshot()
 
 		_, err := b.accept("second", 1, withDeadline(tree, "s000", time.Second))
 		assert.NilError(t, err)
@@ -358,7 +358,7 @@
 		known.Versions, err = b.acceptor.History(t.Context())
 		assert.NilError(t, err)
 
-		b.platform.Restore(old)
+		b.platform.Restore(olderCopy)
 
 		_, err = b.accept("clash", 1, withDeadline(tree, "s000", 9*time.Second))
 		assert.NilError(t, err)
