--- a/internal/propagation/cluster_test.go
+++ b/internal/propagation/cluster_test.go
@@ -27,15 +27,16 @@
 
 const domains = 4
 
-// cluster is many spreaders in one paused clock. Messages are encoded and
-// counted; membership is known at once; gossip is a random exchange of numbers.
+// cluster runs many propagators on one synctest clock. Messages are encoded and
+// counted, membership changes are visible at once, and gossip is a random exchange of
+// version numbers.
 type cluster struct {
 	*testing.T
 
-	platform *platform.Platform
-	acceptor *acceptance.Acceptor
-	options  []propagation.Option
-	quiet    bool // no gossip
+	platform  *platform.Platform
+	acceptor  *acceptance.Acceptor
+	options   []propagation.Option
+	gossipOff bool
 
 	mu       sync.Mutex
 	nodes    map[string]*node
@@ -44,7 +45,7 @@
 	random   *rand.Rand
 	messages int
 	bytes    int
-	wholes   int
+	pulls    int
 	tree     settings.Tree
 	number   uint64
 }
@@ -52,11 +53,12 @@
 type node struct {
 	id, domain string
 	holder     *propagation.Holder
-	spreader   *propagation.Spreader
+	propagator *propagation.Spreader
 	recorder   *timeline.Recorder
 	stop       context.CancelFunc
-	// frozen does not answer and does not run; others still believe in it.
-	frozen atomic.Bool
+	// stalled suspends the node: it neither runs nor answers, and stays in the
+	// membership views.
+	stalled atomic.Bool
 }
 
 func startCluster(t *testing.T, size, branches int, opts ...propagation.Option) *cluster {
@@ -93,11 +95,11 @@
 	return t
 }
 
-// start starts a fresh process of a node.
+// start starts a new process of a node.
 func (c *cluster) start(id, domain string) *node {
 	n := &node{id: id, domain: domain, recorder: timeline.New(timeline.Node(id))}
 	n.holder = propagation.NewHolder(n.recorder)
-	store := stream{c.platform.Direct(domain)}
+	store := bufferedStore{c.platform.Direct(domain)}
 
 	opts := append([]propagation.Option{
 		propagation.Self(id, id, domain),
@@ -105,30 +107,30 @@
 		propagation.Others(func() []string { return c.others(id) }),
 		propagation.Watching(func() bool { return propagation.Watches(domain, id, c.members(domain), 2) }),
 	}, c.options...)
-	n.spreader = propagation.New(n.holder, acceptance.New(store), store, &wire{c, id}, n.recorder, opts...)
+	n.propagator = propagation.New(n.holder, acceptance.New(store), store, &transport{c, id}, n.recorder, opts...)
 
 	ctx, stop := context.WithCancel(c.Context())
 	n.stop = stop
 
 	c.mu.Lock()
 	c.nodes[id] = n
-	c.listed()
+	c.updateLists()
 	c.mu.Unlock()
 
-	go n.spreader.Run(ctx)
-	go c.exchange(ctx, n)
+	go n.propagator.Run(ctx)
+	go c.gossip(ctx, n)
 
 	return n
 }
 
-// kill ends a process; others know it at once.
+// kill ends a process and removes it from all membership views.
 func (c *cluster) kill(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	c.nodes[id].stop()
 	delete(c.nodes, id)
-	c.listed()
+	c.updateLists()
 }
 
 func (c *cluster) stopAll() {
@@ -146,8 +148,8 @@
 	return slices.Clone(c.sorted)
 }
 
-// listed keeps the lists of nodes, which are read far more often than changed.
-func (c *cluster) listed() {
+// updateLists caches the node lists, which are read far more often than changed.
+func (c *cluster) updateLists() {
 	c.sorted = slices.Sorted(maps.Keys(c.nodes))
 	c.domains = map[string][]propagation.Member{}
 
@@ -175,8 +177,8 @@
 	return slices.DeleteFunc(c.ids(), func(other string) bool { return other == id })
 }
 
-// exchange is the gossip of version numbers.
-func (c *cluster) exchange(ctx context.Context, n *node) {
+// gossip exchanges version numbers with random nodes.
+func (c *cluster) gossip(ctx context.Context, n *node) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
 		pause := time.Second/2 + time.Duration(c.random.Int64N(int64(time.Second)))
@@ -189,7 +191,7 @@
 		}
 
 		others := c.others(n.id)
-		if len(others) == 0 || c.quiet {
+		if len(others) == 0 || c.gossipOff {
 			continue
 		}
 
@@ -197,20 +199,20 @@
 		other := c.nodes[others[c.random.IntN(len(others))]]
 		c.mu.Unlock()
 
-		if other != nil && !n.frozen.Load() && !other.frozen.Load() {
-			other.spreader.Hear(ctx, n.id, n.holder.Number())
-			n.spreader.Hear(ctx, other.id, other.holder.Number())
+		if other != nil && !n.stalled.Load() && !other.stalled.Load() {
+			other.propagator.Hear(ctx, n.id, n.holder.Number())
+			n.propagator.Hear(ctx, other.id, other.holder.Number())
 		}
 	}
 }
 
-// wire carries messages from one node, encoded as on a connection.
-type wire struct {
+// transport carries the messages of one node, encoded as on a connection.
+type transport struct {
 	c    *cluster
 	from string
 }
 
-func (w *wire) Do(ctx context.Context, address string, _ peer.Lane, method string, in, out any) error {
+func (w *transport) Do(ctx context.Context, address string, _ peer.Lane, method string, in, out any) error {
 	data, err := msgpack.Marshal(in)
 	if err != nil {
 		return err
@@ -223,7 +225,7 @@
 		return peer.ErrUnreachable
 	}
 
-	if n.frozen.Load() || from.frozen.Load() {
+	if n.stalled.Load() || from.stalled.Load() {
 		<-ctx.Done()
 
 		return peer.ErrBroken
@@ -236,7 +238,7 @@
 	w.c.bytes += len(data) + len(reply)
 
 	if method == propagation.MethodPull && err == nil {
-		w.c.wholes++
+		w.c.pulls++
 	}
 	w.c.mu.Unlock()
 
@@ -251,9 +253,9 @@
 
 func (n *node) answer(ctx context.Context, method string, data []byte) ([]byte, error) {
 	handlers := map[string]peer.Handler{
-		propagation.MethodPull:   peer.Typed(n.spreader.Serve),
-		propagation.MethodPush:   peer.Typed(n.spreader.Receive),
-		propagation.MethodNumber: peer.Typed(n.spreader.Tell),
+		propagation.MethodPull:   peer.Typed(n.propagator.ServePull),
+		propagation.MethodPush:   peer.Typed(n.propagator.ServePush),
+		propagation.MethodNumber: peer.Typed(n.propagator.ServeNumber),
 	}
 
 	v, err := handlers[method](ctx, data)
@@ -264,7 +266,7 @@
 	return msgpack.Marshal(v)
 }
 
-// accept accepts the tree as it stands.
+// accept accepts the current tree.
 func (c *cluster) accept() uint64 {
 	c.Helper()
 
@@ -306,14 +308,14 @@
 
 	for _, id := range c.ids() {
 		if n := c.node(id); n.holder.Number() != number {
-			out = append(out, fmt.Sprintf("%s has %d %s", id, n.holder.Number(), n.spreader.Trouble()))
+			out = append(out, fmt.Sprintf("%s has %d %s", id, n.holder.Number(), n.propagator.Trouble()))
 		}
 	}
 
 	return out
 }
 
-func (c *cluster) inForce(number uint64) bool {
+func (c *cluster) allActive(number uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -326,28 +328,28 @@
 	return true
 }
 
-// settle waits until the version is in force everywhere and returns how long it
-// took on the paused clock.
-func (c *cluster) settle(number uint64) time.Duration {
+// waitActive waits until the version is active on all nodes and returns how long it
+// took on the synctest clock.
+func (c *cluster) waitActive(number uint64) time.Duration {
 	c.Helper()
 
 	start := time.Now()
 
 	for time.Since(start) < time.Minute {
-		if c.inForce(number) {
+		if c.allActive(number) {
 			return time.Since(start)
 		}
 
-		// Exact where it counts, and few looks where it does not.
+		// Short waits are measured to the millisecond; long ones need fewer checks.
 		time.Sleep(max(time.Millisecond, time.Since(start)/4))
 	}
 
-	c.Fatalf("version %d is not in force after a minute: %v", number, c.behind(number))
+	c.Fatalf("version %d is not active on all nodes after a minute: %v", number, c.behind(number))
 
 	return 0
 }
 
-type traffic struct{ messages, bytes, wholes, calls int }
+type traffic struct{ messages, bytes, pulls, calls int }
 
 func (c *cluster) traffic() traffic {
 	n := c.platform.Counts()
@@ -355,11 +357,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	return traffic{c.messages, c.bytes, c.wholes, int(n.Reads + n.Writes + n.Watches)}
+	return traffic{c.messages, c.bytes, c.pulls, int(n.Reads + n.Writes + n.Watches)}
 }
 
 func (t traffic) since(o traffic) traffic {
-	return traffic{t.messages - o.messages, t.bytes - o.bytes, t.wholes - o.wholes, t.calls - o.calls}
+	return traffic{t.messages - o.messages, t.bytes - o.bytes, t.pulls - o.pulls, t.calls - o.calls}
 }
 
 func (n *node) count(e event.Event) int {
@@ -374,9 +376,9 @@
 	return total
 }
 
-// acceptBad puts a version with a route to a service that is not there onto the
-// platform, as an operator's side with a fault in its check would.
-func (c *cluster) acceptBad() {
+// acceptInvalid writes a version with a route to an unknown service to the platform,
+// as a faulty validation on the operator's side would.
+func (c *cluster) acceptInvalid() {
 	c.Helper()
 
 	bad := settings.Tree{Branch: c.tree.Branch}
@@ -416,10 +418,11 @@
 	assert.NilError(c, err)
 }
 
-// stream keeps each change of a watch until it is read, as a connection does.
-type stream struct{ platform.Direct }
+// bufferedStore buffers the changes of a watch until they are read, as a connection
+// does.
+type bufferedStore struct{ platform.Direct }
 
-func (s stream) Watch(ctx context.Context, key string, from int64) (<-chan keyvalue.Entry, error) {
+func (s bufferedStore) Watch(ctx context.Context, key string, from int64) (<-chan keyvalue.Entry, error) {
 	in, err := s.Direct.Watch(ctx, key, from)
 	if err != nil {
 		return nil, err
--- a/internal/propagation/delta.go
+++ b/internal/propagation/delta.go
@@ -9,21 +9,21 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Errors of the spread.
+// Errors of the package.
 var (
-	// ErrNoVersion is returned by a node that holds nothing newer.
+	// ErrNoVersion is returned by a node that has no newer version.
 	ErrNoVersion = errs.New("spread.none", http.StatusServiceUnavailable, "no newer version held")
-	// ErrDelta is returned for a delta that can't be used.
+	// ErrDelta is returned for a delta that can't be applied.
 	ErrDelta = errs.New("spread.delta", http.StatusBadGateway, "delta can't be used")
 )
 
-// pieceBytes bounds one piece of a delta, so that a large tree does not hold up
-// the heartbeats that share the connection.
-const pieceBytes = 512 << 10
+// maxPieceBytes limits one piece of a delta, so that a large tree does not delay the
+// heartbeats on the same connection.
+const maxPieceBytes = 512 << 10
 
-// Delta leads from one version to a newer one, branch by branch. From 0 means
-// the whole tree. A large one travels in pieces: Rest is the path after which
-// the next piece goes on, and is empty in the last one.
+// Delta holds the branches that changed from one version to a newer one. From 0 means
+// the whole tree. A large delta is sent in pieces: Rest is the path after which the
+// next piece continues, and is empty in the last piece.
 type Delta struct {
 	From    uint64           `msgpack:"From,omitempty"`
 	Version settings.Version `msgpack:"Version"`
@@ -31,12 +31,12 @@
 	Removed []string         `msgpack:"Removed,omitempty"`
 	Packed  []byte           `msgpack:"Packed,omitempty"`
 	Rest    string           `msgpack:"Rest,omitempty"`
-	// RetryMs is set alone by a node that serves too many others already: come
-	// back after so long.
+	// RetryMs is set alone when the node serves too many pulls already: the caller
+	// retries after this delay.
 	RetryMs int64 `msgpack:"RetryMs,omitempty"`
 }
 
-// Check reports whether a decoded delta can be used, and unpacks it.
+// Check reports whether a decoded delta can be used, and decompresses it.
 func (d *Delta) Check() error {
 	if d.RetryMs > 0 {
 		return nil
@@ -58,28 +58,29 @@
 	return n
 }
 
-// step is which branches changed from one held version to the next.
-type step struct {
+// changeset lists the branches that changed between two consecutive versions of this
+// node.
+type changeset struct {
 	from  uint64
 	paths []string
 }
 
-// maxSteps bounds how far back a node can lead others; who is further behind
-// needs the whole tree. A day has some 5,600 changes, so this is about an hour,
-// the longest that regions usually lose each other.
-const maxSteps = 256
+// maxChangesets limits how many versions back a delta can start; a node that is
+// further behind pulls the whole tree. At some 5,600 changes a day this covers about
+// an hour, the longest usual loss of connection between regions.
+const maxChangesets = 256
 
-// pathsSince returns the branches that changed since a version, in order. The
-// whole tree is needed if that version was not held here.
-func pathsSince(steps []step, have uint64) ([]string, bool) {
-	i := slices.IndexFunc(steps, func(s step) bool { return s.from == have })
+// pathsSince returns the sorted paths of the branches that changed since a version. It
+// returns false if this node never had that version, so that the whole tree is needed.
+func pathsSince(changesets []changeset, have uint64) ([]string, bool) {
+	i := slices.IndexFunc(changesets, func(s changeset) bool { return s.from == have })
 	if i < 0 || have == 0 {
 		return nil, false
 	}
 
 	paths := map[string]bool{}
 
-	for _, s := range steps[i:] {
+	for _, s := range changesets[i:] {
 		for _, path := range s.paths {
 			paths[path] = true
 		}
@@ -88,8 +89,8 @@
 	return slices.Sorted(maps.Keys(paths)), true
 }
 
-// between returns the paths at which two manifests differ.
-func between(from, to map[string]settings.Digest) []string {
+// changedPaths returns the paths at which two manifests differ.
+func changedPaths(from, to map[string]settings.Digest) []string {
 	var paths []string
 
 	for path, d := range to {
@@ -107,8 +108,9 @@
 	return paths
 }
 
-// cut returns one piece of the way to the snapshot.
-func cut(s *settings.Snapshot, from uint64, paths []string, after string) Delta {
+// newPiece returns one piece of the delta to the snapshot, starting behind the path
+// after.
+func newPiece(s *settings.Snapshot, from uint64, paths []string, after string) Delta {
 	v := s.Version()
 	v.Branches = nil
 	d := Delta{From: from, Version: v, Changed: settings.Records{}}
@@ -129,7 +131,7 @@
 		d.Changed[path] = data
 		size += len(data)
 
-		if size >= pieceBytes && i+1 < len(paths) {
+		if size >= maxPieceBytes && i+1 < len(paths) {
 			d.Rest = path
 
 			break
@@ -139,8 +141,7 @@
 	return d
 }
 
-// Apply returns the snapshot that a delta without Rest leads to, checked as a
-// whole.
+// Apply returns the snapshot that results from a complete delta, validated as a whole.
 func Apply(base *settings.Snapshot, d Delta) (*settings.Snapshot, error) {
 	if d.From == 0 {
 		return settings.NewSnapshot(d.Version, d.Changed)
--- a/internal/propagation/delta_test.go
+++ b/internal/propagation/delta_test.go
@@ -36,46 +36,46 @@
 	return out
 }
 
-// Deltas cross, repeat and arrive late, from nodes that hold any version. A node
-// that went back, or mixed two versions, would answer by rules that nobody
-// accepted.
-func TestHolderOnlyGoesUpWhateverArrives(t *testing.T) {
+// Deltas arrive reordered, repeated and late, from nodes with any version. A node must
+// neither return to an older version nor mix two versions, since it would then answer
+// by rules that were never accepted.
+func TestHolderVersionNeverDecreases(t *testing.T) {
 	const versions = 8
 
 	all := snapshots(t, versions)
 
 	rapid.Check(t, func(rt *rapid.T) {
-		// The one who serves has held some of the versions, in order.
-		served := propagation.NewHolder(timeline.New())
-		held := propagation.NewHolder(timeline.New())
+		// The serving node has had some of the versions, in order.
+		server := propagation.NewHolder(timeline.New())
+		receiver := propagation.NewHolder(timeline.New())
 
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
-			before := held.Number()
+			before := receiver.Number()
 
 			if rapid.Bool().Draw(rt, "accepted") {
-				served.Offer(all[rapid.IntRange(0, versions-1).Draw(rt, "version")])
+				server.Offer(all[rapid.IntRange(0, versions-1).Draw(rt, "version")])
 			}
 
-			d, err := served.Delta(uint64(rapid.IntRange(0, versions).Draw(rt, "have")), "")
+			d, err := server.Delta(uint64(rapid.IntRange(0, versions).Draw(rt, "have")), "")
 			if err == nil {
-				if s, err := propagation.Apply(held.Load(), d); err == nil {
-					held.Offer(s)
+				if s, err := propagation.Apply(receiver.Load(), d); err == nil {
+					receiver.Offer(s)
 				}
 			}
 
-			assert.Assert(rt, held.Number() >= before)
+			assert.Assert(rt, receiver.Number() >= before)
 
-			if now := held.Load(); now != nil {
+			if now := receiver.Load(); now != nil {
 				assert.DeepEqual(rt, now.Tree(), all[now.Version().Number-1].Tree())
 			}
 		}
 	})
 }
 
-// A tree too large for one message arrives in pieces, and while it does, another
-// version is accepted. Pieces of two versions put together would be a tree that
-// nobody accepted, and one large message would hold up heartbeats.
-func TestLargeTreeArrivesInPieces(t *testing.T) {
+// Another version is accepted while a tree is pulled in pieces. Pieces of two versions
+// must not be combined into a tree that was never accepted. A single large message
+// would delay heartbeats.
+func TestLargeTreeIsPulledInPieces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 9, 40)
 		for name, b := range c.tree.Branches {
@@ -86,7 +86,7 @@
 			}
 		}
 
-		c.settle(c.accept())
+		c.waitActive(c.accept())
 
 		whole, err := c.node(nodeID(0)).holder.Delta(0, "")
 		assert.NilError(t, err)
@@ -96,27 +96,27 @@
 		n := c.start(nodeID(8), "d0")
 
 		time.Sleep(2 * time.Millisecond)
-		c.settle(c.change())
+		c.waitActive(c.change())
 		assert.Equal(t, n.holder.Load().Version().Digest, c.node(nodeID(0)).holder.Load().Version().Digest)
 		c.stopAll()
 	})
 }
 
-// A herd asks one node for the whole tree. It serves a few and tells the rest
-// when to come back; if it took all, all would be slow together.
-func TestWholeTreesAreServedAFewAtATime(t *testing.T) {
+// When many nodes pull the whole tree from one node, it serves a few and returns a
+// retry delay to the rest. Serving all at once would slow down every pull.
+func TestServePullLimitsConcurrentTrees(t *testing.T) {
 	h := propagation.NewHolder(timeline.New())
 	h.Offer(snapshots(t, 1)[0])
 
-	s := propagation.New(h, nil, nil, nil, timeline.New(), func(o *propagation.Options) { o.Serves = 0 })
+	s := propagation.New(h, nil, nil, nil, timeline.New(), func(o *propagation.Options) { o.MaxTreesServed = 0 })
 
-	d, err := s.Serve(context.Background(), propagation.PullRequest{})
+	d, err := s.ServePull(context.Background(), propagation.PullRequest{})
 	assert.NilError(t, err)
 	assert.Assert(t, d.RetryMs > 0)
 	assert.Equal(t, len(d.Changed), 0)
 }
 
-func TestDeltaThatDoesNotLeadUpIsRefused(t *testing.T) {
+func TestCheckRejectsInvalidDelta(t *testing.T) {
 	d := propagation.Delta{From: 3, Version: settings.Version{Number: 3}}
 	assert.ErrorIs(t, d.Check(), propagation.ErrDelta)
 
--- a/internal/propagation/holder.go
+++ b/internal/propagation/holder.go
@@ -12,18 +12,19 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Holder holds the one version that the node answers with. It only goes up.
+// Holder stores the active version of this node. The version number never decreases.
 type Holder struct {
 	recorder *timeline.Recorder
 	current  atomic.Pointer[Held]
 
-	mu      sync.Mutex
-	changed chan struct{}
-	past    acceptance.History
-	steps   []step
+	mu         sync.Mutex
+	changed    chan struct{}
+	history    acceptance.History
+	changesets []changeset
 }
 
-// Held is a snapshot, when it came into force here and where it came from.
+// Held is a snapshot with the time at which it became active on this node and
+// its source.
 type Held struct {
 	Snapshot *settings.Snapshot
 	Since    time.Time
@@ -35,25 +36,25 @@
 	return &Holder{recorder: recorder, changed: make(chan struct{})}
 }
 
-// Load returns the snapshot in force, or nil.
+// Load returns the active snapshot, or nil.
 func (h *Holder) Load() *settings.Snapshot {
-	if held := h.current.Load(); held != nil {
-		return held.Snapshot
+	if active := h.current.Load(); active != nil {
+		return active.Snapshot
 	}
 
 	return nil
 }
 
-// Held returns the snapshot in force and since when.
+// Held returns the active snapshot with its activation time and source.
 func (h *Holder) Held() Held {
-	if held := h.current.Load(); held != nil {
-		return *held
+	if active := h.current.Load(); active != nil {
+		return *active
 	}
 
 	return Held{}
 }
 
-// Number returns the version in force, or 0.
+// Number returns the active version number, or 0.
 func (h *Holder) Number() uint64 {
 	if s := h.Load(); s != nil {
 		return s.Version().Number
@@ -62,37 +63,38 @@
 	return 0
 }
 
-// Known returns the version held and the ones held before it.
+// Known returns the active version and the earlier versions of this node.
 func (h *Holder) Known() acceptance.Known {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	return acceptance.Known{Snapshot: h.Load(), Versions: h.past}
+	return acceptance.Known{Snapshot: h.Load(), Versions: h.history}
 }
 
-// Offer takes the snapshot if it is newer than the one held, and reports so.
+// Offer activates the snapshot if it is newer than the active one, and reports whether
+// it did.
 func (h *Holder) Offer(s *settings.Snapshot) bool { return h.OfferFrom(s, "") }
 
-// OfferFrom is Offer with the source that status and the time line name.
+// OfferFrom is Offer with the source that is shown in the status and the time line.
 //
-// Updates cross in flight and a source can come back from an older copy; a node
-// that took what came last would answer by rules that were withdrawn.
+// Updates can arrive out of order, and a source can be restored from an older copy. A
+// node that activated the latest arrival would answer by rules that were withdrawn.
 func (h *Holder) OfferFrom(s *settings.Snapshot, source string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	v, held := s.Version(), h.Load()
+	v, active := s.Version(), h.Load()
 
-	if held != nil && v.Number <= held.Version().Number {
-		if v.Number < held.Version().Number {
+	if active != nil && v.Number <= active.Version().Number {
+		if v.Number < active.Version().Number {
 			h.recorder.Record(event.VersionOlder, timeline.Entry{Version: v.Number, Peer: source})
 		}
 
 		return false
 	}
 
-	h.check(s)
-	h.remember(held, v)
+	h.checkInvariants(s)
+	h.recordHistory(active, v)
 	h.current.Store(&Held{Snapshot: s, Since: time.Now(), Source: source})
 	h.recorder.Record(event.VersionInForce, timeline.Entry{Version: v.Number, Peer: source})
 	close(h.changed)
@@ -101,24 +103,25 @@
 	return true
 }
 
-// remember keeps what deltas to other nodes and the repair of the platform need.
-func (h *Holder) remember(held *settings.Snapshot, v settings.Version) {
-	h.past = h.past.With(v)
+// recordHistory stores what deltas to other nodes and the repair of the platform need.
+func (h *Holder) recordHistory(active *settings.Snapshot, v settings.Version) {
+	h.history = h.history.With(v)
 
-	if held == nil {
+	if active == nil {
 		return
 	}
 
-	from := held.Version()
-	h.steps = append(h.steps, step{from: from.Number, paths: between(from.Branches, v.Branches)})
+	from := active.Version()
+	h.changesets = append(h.changesets, changeset{from: from.Number, paths: changedPaths(from.Branches, v.Branches)})
 
-	if len(h.steps) > maxSteps {
-		h.steps = append([]step(nil), h.steps[len(h.steps)-maxSteps:]...)
+	if len(h.changesets) > maxChangesets {
+		h.changesets = append([]changeset(nil), h.changesets[len(h.changesets)-maxChangesets:]...)
 	}
 }
 
-// Delta returns what leads from a version to the one held: a piece of it, after
-// the path. It is the whole tree if that version was not held here.
+// Delta returns one piece of the delta from a version to the active one, starting
+// behind the path after. It is a delta of the whole tree if this node never had that
+// version.
 func (h *Holder) Delta(have uint64, after string) (Delta, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -128,27 +131,28 @@
 		return Delta{}, ErrNoVersion
 	}
 
-	if paths, ok := pathsSince(h.steps, have); ok {
-		return cut(s, have, paths, after), nil
+	if paths, ok := pathsSince(h.changesets, have); ok {
+		return newPiece(s, have, paths, after), nil
 	}
 
-	return cut(s, 0, s.Paths(), after), nil
+	return newPiece(s, 0, s.Paths(), after), nil
 }
 
-// Previous returns the version that was held before, or 0.
+// Previous returns the version that was active before, or 0.
 func (h *Holder) Previous() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	if len(h.steps) == 0 {
+	if len(h.changesets) == 0 {
 		return 0
 	}
 
-	return h.steps[len(h.steps)-1].from
+	return h.changesets[len(h.changesets)-1].from
 }
 
-// check asserts what Offer and NewSnapshot promise of what comes into force.
-func (h *Holder) check(s *settings.Snapshot) {
+// checkInvariants checks the guarantees of Offer and NewSnapshot for a snapshot that
+// becomes active.
+func (h *Holder) checkInvariants(s *settings.Snapshot) {
 	v := s.Version()
 	entry := timeline.Entry{Version: v.Number}
 
@@ -157,7 +161,7 @@
 	invariant.Check(h.recorder, invariant.ServicesAreKnown, s.UnknownService() == "", entry)
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the next version becomes active.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/propagation/join.go
+++ b/internal/propagation/join.go
@@ -9,42 +9,43 @@
 	"github.com/pollencart/pollencart/internal/idle"
 )
 
-// asked is how many nodes a fresh process asks before it takes a version. One
-// may have been cut off and hold an old version; that several at random all are
-// is unlikely, and gossip mends it.
-const asked = 3
+// joinPeers is how many nodes a new process contacts before it takes a version. A
+// single node may have been cut off and have an old version; several random ones
+// rarely all are, and gossip corrects that case.
+const joinPeers = 3
 
-// Pauses between the rounds of a fresh process.
+// Limits of the pause between attempts of a new process.
 const (
-	firstRound = 100 * time.Millisecond
-	lastRound  = 2 * time.Second
+	minJoinPause = 100 * time.Millisecond
+	maxJoinPause = 2 * time.Second
 )
 
-// join brings a fresh process to the newest version that it can reach, before it
-// watches the platform. A herd of restarts that went to the platform first would
-// take its rates from the operators who are trying to mend things.
+// join pulls the newest version that a new process can find at its peers before the
+// process watches the platform. If all processes of a mass restart read from the
+// platform first, they would use up the rate limit that operators need for repairs.
 func (s *Spreader) join(ctx context.Context) {
-	pause := firstRound
+	pause := minJoinPause
 
 	for ctx.Err() == nil && s.holder.Number() == 0 {
-		best, answered := s.ask(ctx)
+		best, answered := s.newestPeerVersion(ctx)
 		if best.number > 0 && s.pull(ctx, best.address) == nil {
 			return
 		}
 
-		// Nobody has a version to give, or nobody answers: if this node is to
-		// watch, the platform is left.
-		if (answered > 0 || pause > firstRound) && best.number == 0 && s.options.Watching() {
+		// No contacted node has a version, or none answered: a watcher falls back to
+		// the platform.
+		if (answered > 0 || pause > minJoinPause) && best.number == 0 && s.options.Watching() {
 			return
 		}
 
 		idle.For(ctx, jitter(pause))
-		pause = min(2*pause, lastRound)
+		pause = min(2*pause, maxJoinPause)
 	}
 }
 
-// ask returns the newest version among some nodes and how many answered.
-func (s *Spreader) ask(ctx context.Context) (best source, answered int) {
+// newestPeerVersion returns the newest version of a few random nodes and the number of
+// nodes that answered.
+func (s *Spreader) newestPeerVersion(ctx context.Context) (best source, answered int) {
 	others := s.options.Others()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 
@@ -53,7 +54,7 @@
 		wg sync.WaitGroup
 	)
 
-	for _, address := range others[:min(asked, len(others))] {
+	for _, address := range others[:min(joinPeers, len(others))] {
 		wg.Go(func() {
 			var n Number
 			if s.do(ctx, address, MethodNumber, struct{}{}, &n) != nil {
--- a/internal/propagation/main_test.go
+++ b/internal/propagation/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The codec has channels of its own; it is made before any paused clock, since
-// a channel made under one can't be used under another.
+// The codec has its own channels, and a channel made inside a synctest bubble can't be
+// used in another one. TestMain creates the codec before any bubble starts.
 func TestMain(m *testing.M) {
 	underRaceDetector()
 	encoder().EncodeAll([]byte("x"), nil)
--- a/internal/propagation/order.go
+++ b/internal/propagation/order.go
@@ -7,18 +7,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a node of this failure domain that is thought to run.
+// Member is a node of this failure domain that is considered alive.
 type Member struct {
 	ID      string
 	Address string
 }
 
-// Order sorts the members of a failure domain by rendezvous hashing: a node that
-// joins or leaves moves no two others past each other. The first ones watch the
-// platform, and all form a tree in which member i leads to i*fanout+1 and on.
+// Order sorts the members of a failure domain by rendezvous hashing: a node that joins
+// or leaves does not change the relative order of the others. The first members watch
+// the platform. All form a tree in which member i pushes to the members from
+// i*fanout+1 on.
 //
-// Nodes that disagree on who runs push twice or leave a gap for a moment. The
-// first costs bytes, the second is filled by the version numbers in gossip.
+// Nodes with different membership views push twice or briefly leave a member out. The
+// first only costs bytes; gossip of version numbers corrects the second.
 func Order(domain string, members []Member) []Member {
 	out := slices.Clone(members)
 	slices.SortFunc(out, func(a, b Member) int {
@@ -34,7 +35,7 @@
 
 func weight(domain, id string) uint64 { return xxhash.Sum64String(domain + "\x00" + id) }
 
-// Watches reports whether a node is among the first count of its domain.
+// Watches reports whether a node is one of the first count members of its domain.
 func Watches(domain, id string, members []Member, count int) bool {
 	mine, before := weight(domain, id), 0
 
@@ -47,11 +48,11 @@
 	return before < count
 }
 
-func index(order []Member, id string) int {
+func memberIndex(order []Member, id string) int {
 	return slices.IndexFunc(order, func(m Member) bool { return m.ID == id })
 }
 
-// children returns whom the member at a position leads to.
+// children returns the members to which the member at a position pushes.
 func children(order []Member, position, fanout int) []Member {
 	if position < 0 {
 		return nil
--- a/internal/propagation/pack.go
+++ b/internal/propagation/pack.go
@@ -7,17 +7,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Bounds of compression. Below packFrom the frame of the codec eats the gain;
-// the small window keeps the memory of a node low, since records are short and
-// much alike; maxUnpacked keeps a broken or hostile piece from taking it.
+// Limits of compression. Below minPackBytes the codec's frame outweighs the gain. The
+// small window saves memory and suffices, since records are short and similar.
+// maxUnpackedBytes keeps a corrupt or malicious piece from using up the memory.
 const (
-	packFrom    = 1 << 10
-	packWindow  = 256 << 10
-	maxUnpacked = 64 << 20
+	minPackBytes     = 1 << 10
+	packWindowBytes  = 256 << 10
+	maxUnpackedBytes = 64 << 20
 )
 
 var encoder = sync.OnceValue(func() *zstd.Encoder {
-	e, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(packWindow))
+	e, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(packWindowBytes))
 	if err != nil {
 		panic(err) // the options are constants
 	}
@@ -26,7 +26,7 @@
 })
 
 var decoder = sync.OnceValue(func() *zstd.Decoder {
-	d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpacked))
+	d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpackedBytes))
 	if err != nil {
 		panic(err) // the options are constants
 	}
@@ -36,7 +36,7 @@
 
 // pack compresses the records of a large delta.
 func (d Delta) pack() Delta {
-	if d.size() < packFrom {
+	if d.size() < minPackBytes {
 		return d
 	}
 
--- a/internal/propagation/poll.go
+++ b/internal/propagation/poll.go
@@ -8,14 +8,14 @@
 	"github.com/pollencart/pollencart/internal/idle"
 )
 
-// pollInterval of the baseline.
+// pollInterval is the mean interval of StrategyPoll.
 const pollInterval = time.Second
 
-// poll is the baseline in which every node reads the head from the platform.
+// poll implements StrategyPoll: every node reads the head from the platform.
 func (s *Spreader) poll(ctx context.Context) {
 	for ctx.Err() == nil {
 		if e, err := s.store.Get(ctx, acceptance.HeadKey); err == nil {
-			_ = s.takeHead(ctx, e.Value)
+			_ = s.applyHead(ctx, e.Value)
 		}
 
 		idle.For(ctx, pollInterval/2+jitter(pollInterval))
--- a/internal/propagation/propagation.go
+++ b/internal/propagation/propagation.go
@@ -1,9 +1,9 @@
-// Package propagation brings accepted versions to every node and keeps the one that
-// this node answers with.
+// Package propagation distributes accepted versions to every node and stores the
+// active version of this node.
 //
 // A few watchers in each failure domain follow the head on the platform and push
-// what changed down a tree of the domain's live members. Version numbers that
-// travel with gossip show a node that it is behind; it then pulls from a peer.
+// changes down a tree of the domain's live members. Gossip carries version numbers: a
+// node that learns that it is behind pulls from a peer.
 //
 //	h := propagation.NewHolder(recorder)
 //	s := propagation.New(h, acceptor, store, client, recorder, propagation.Self(id, address, domain))
@@ -40,7 +40,8 @@
 	Do(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error
 }
 
-// Spreader keeps the holder up to date.
+// Spreader keeps the holder at the newest version and passes new versions on to other
+// nodes.
 type Spreader struct {
 	holder   *Holder
 	acceptor *acceptance.Acceptor
@@ -50,24 +51,25 @@
 	options  Options
 	serving  chan struct{}
 
-	// Pushes, Offers and Pulls count the messages that this node sent.
+	// Pushes, Offers and Pulls count the deltas pushed, the version numbers offered
+	// and the pull requests sent by this node.
 	Pushes, Offers, Pulls atomic.Int64
 
-	mu      sync.Mutex
-	links   map[string]*link
-	wanted  source
-	filling bool
-	refused refusal
+	mu         sync.Mutex
+	sessions   map[string]*pushSession
+	wanted     source
+	catchingUp bool
+	rejected   rejection
 }
 
-// refusal is the newest version that does not check.
-type refusal struct {
+// rejection is the newest version that failed validation.
+type rejection struct {
 	number uint64
 	digest settings.Digest
 	reason string
 }
 
-// New returns a spreader.
+// New returns a propagator.
 func New(
 	h *Holder, a *acceptance.Acceptor, s platform.Store, c Caller, r *timeline.Recorder, opts ...Option,
 ) *Spreader {
@@ -75,15 +77,15 @@
 
 	return &Spreader{
 		holder: h, acceptor: a, store: s, peers: c, recorder: r, options: o,
-		serving: make(chan struct{}, o.Serves), links: map[string]*link{},
+		serving: make(chan struct{}, o.MaxTreesServed), sessions: map[string]*pushSession{},
 	}
 }
 
 // Register adds the peer methods to a server.
 func (s *Spreader) Register(server *peer.Server) {
-	server.Handle(MethodPull, peer.Typed(s.Serve))
-	server.Handle(MethodPush, peer.Typed(s.Receive))
-	server.Handle(MethodNumber, peer.Typed(s.Tell))
+	server.Handle(MethodPull, peer.Typed(s.ServePull))
+	server.Handle(MethodPush, peer.Typed(s.ServePush))
+	server.Handle(MethodNumber, peer.Typed(s.ServeNumber))
 }
 
 // Run keeps the holder up to date until ctx ends.
@@ -98,41 +100,41 @@
 	s.watch(ctx)
 }
 
-// Trouble tells why this node does not hold a newer version that it has heard
-// of, or nothing.
+// Trouble returns why this node has not activated a newer version that it knows of, or
+// an empty string.
 func (s *Spreader) Trouble() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	switch held := s.holder.Number(); {
-	case s.refused.number > held:
-		return "refused: " + s.refused.reason
-	case s.wanted.number > held:
+	switch active := s.holder.Number(); {
+	case s.rejected.number > active:
+		return "refused: " + s.rejected.reason
+	case s.wanted.number > active:
 		return "pulling from " + s.wanted.address
 	default:
 		return ""
 	}
 }
 
-// Heard returns the newest version number that this node has heard of.
+// Heard returns the newest version number that this node knows of.
 func (s *Spreader) Heard() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return max(s.holder.Number(), s.wanted.number, s.refused.number)
+	return max(s.holder.Number(), s.wanted.number, s.rejected.number)
 }
 
-// refuse notes a version that does not check, and tells it once. Only a version
-// that arrived whole can be found bad; a piece that was damaged on the way is
-// asked for again.
-func (s *Spreader) refuse(v settings.Version, from string, err error) {
+// reject records a version that fails validation, and logs it once. Only a version
+// that arrived whole can be invalid; a piece that was damaged in transit is requested
+// again.
+func (s *Spreader) reject(v settings.Version, from string, err error) {
 	if !errors.Is(err, settings.ErrInvalid) {
 		return
 	}
 
 	s.mu.Lock()
-	known := s.refused.number == v.Number && s.refused.digest == v.Digest
-	s.refused = refusal{v.Number, v.Digest, err.Error()}
+	known := s.rejected.number == v.Number && s.rejected.digest == v.Digest
+	s.rejected = rejection{v.Number, v.Digest, err.Error()}
 	s.mu.Unlock()
 
 	if !known {
@@ -140,34 +142,34 @@
 	}
 }
 
-func (s *Spreader) isRefused(number uint64) bool {
+func (s *Spreader) isRejected(number uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return s.refused.number == number && number > 0
+	return s.rejected.number == number && number > 0
 }
 
-// take applies a delta and passes the version on.
-func (s *Spreader) take(d Delta, from string, outside bool) error {
-	if d.Version.Number <= s.holder.Number() || s.isRefused(d.Version.Number) {
+// applyDelta activates the version of a delta and pushes it to other nodes.
+func (s *Spreader) applyDelta(d Delta, from string, fromOutsideTree bool) error {
+	if d.Version.Number <= s.holder.Number() || s.isRejected(d.Version.Number) {
 		return nil
 	}
 
 	snapshot, err := Apply(s.holder.Load(), d)
 	if err != nil {
-		s.refuse(d.Version, from, err)
+		s.reject(d.Version, from, err)
 
 		return err
 	}
 
 	if s.holder.OfferFrom(snapshot, from) {
-		s.passOn(outside)
+		s.propagate(fromOutsideTree)
 	}
 
 	return nil
 }
 
-// jitter returns a random pause up to d.
+// jitter returns a random duration below d.
 func jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
--- a/internal/propagation/propagation_test.go
+++ b/internal/propagation/propagation_test.go
@@ -15,7 +15,7 @@
 
 const changes = 10
 
-// cost is what one change costs, once the fleet holds a version.
+// cost is the cost of one change in a fleet that already has a version.
 type cost struct {
 	bytesPerNode, messagesPerNode float64
 	calls                         int
@@ -29,12 +29,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, size, 20, opts...)
 		time.Sleep(5 * time.Second)
-		c.settle(c.accept())
-		c.settle(c.change())
+		c.waitActive(c.accept())
+		c.waitActive(c.change())
 
 		before := c.traffic()
 		for range changes {
-			out.slowest = max(out.slowest, c.settle(c.change()))
+			out.slowest = max(out.slowest, c.waitActive(c.change()))
 		}
 
 		spent := c.traffic().since(before)
@@ -60,10 +60,10 @@
 	return out, delta
 }
 
-// The fleet grows faster than the platform. If each node asked the platform, it
-// would be used up, and operators could accept nothing; if each got the whole
-// tree, the links would be.
-func TestCostOfAChangeDoesNotGrowWithTheFleet(t *testing.T) {
+// Platform load and traffic for each node must not grow with the fleet. If each node
+// polled the platform, operators could no longer accept versions; if each change sent
+// the whole tree, the network links would be saturated.
+func TestCostOfChangeIsIndependentOfFleetSize(t *testing.T) {
 	small, delta := measure(t, 50)
 	large, _ := measure(t, 200)
 
@@ -74,8 +74,8 @@
 	assert.Assert(t, large.messagesPerNode < 1.2, "%f messages a node", large.messagesPerNode)
 }
 
-// The same work in the two ways that were ruled out.
-func TestBaselinesCostMore(t *testing.T) {
+// Polling and pushing the whole tree cost more than pushing deltas.
+func TestBaselineStrategiesCostMore(t *testing.T) {
 	deltas, _ := measure(t, 50)
 	poll, _ := measure(t, 50, propagation.With(propagation.StrategyPoll))
 	full, _ := measure(t, 50, propagation.With(propagation.StrategyFullPush))
@@ -85,49 +85,49 @@
 	assert.Assert(t, full.bytesPerNode > 2*deltas.bytesPerNode)
 }
 
-// An inner member of the tree is dead or frozen and nobody has noticed. Those
-// behind it would wait for gossip, or for ever if that is slow; here it is off.
-func TestFrozenInnerMembersAreBypassed(t *testing.T) {
+// Inner members of the tree are stalled and not yet detected. Without the bypass, the
+// members below them would wait for gossip, which is off in this test.
+func TestPushBypassesStalledInnerMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 160, 5)
-		c.settle(c.accept())
-		c.quiet = true
+		c.waitActive(c.accept())
+		c.gossipOff = true
 
 		order := propagation.Order("d0", c.members("d0"))
-		frozen := []string{order[0].ID, order[2].ID}
+		stalled := []string{order[0].ID, order[2].ID}
 
-		for _, id := range frozen {
-			c.node(id).frozen.Store(true)
+		for _, id := range stalled {
+			c.node(id).stalled.Store(true)
 		}
 
 		number := c.change()
 		time.Sleep(10 * time.Second)
 
-		for _, id := range frozen {
-			c.node(id).frozen.Store(false)
+		for _, id := range stalled {
+			c.node(id).stalled.Store(false)
 		}
 
 		for _, line := range c.behind(number) {
-			assert.Assert(t, line[:8] == frozen[0] || line[:8] == frozen[1], "%s", line)
+			assert.Assert(t, line[:8] == stalled[0] || line[:8] == stalled[1], "%s", line)
 		}
 
-		// Awake again, they learn what they missed, and push nothing old.
-		c.quiet = false
-		c.settle(number)
+		// The resumed nodes catch up and push nothing outdated.
+		c.gossipOff = false
+		c.waitActive(number)
 		c.stopAll()
 	})
 }
 
-// A version that no node can use has got onto the platform, past the check of
-// the operators' side. Each node holds the old one whole, says so once, and does
-// not ask for it again and again.
-func TestBadVersionIsRefusedOnceAndWhole(t *testing.T) {
+// An invalid version reaches the platform because the validation on the operator's
+// side is faulty. Each node keeps its active version, records the rejection once, and
+// does not request the version again.
+func TestInvalidVersionIsRejectedOnceByEachNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 40, 5)
 		good := c.accept()
-		c.settle(good)
+		c.waitActive(good)
 
-		c.acceptBad()
+		c.acceptInvalid()
 		time.Sleep(10 * time.Second)
 
 		before := c.traffic()
@@ -135,38 +135,39 @@
 
 		spent := c.traffic().since(before)
 		assert.Equal(t, len(c.behind(good)), 0)
-		assert.Equal(t, spent.messages, 0, "messages in a minute about a refused version")
-		assert.Assert(t, spent.calls <= domains*2*8, "%d platform calls in a minute about a refused version", spent.calls)
+		assert.Equal(t, spent.messages, 0, "messages in a minute about a rejected version")
+		assert.Assert(t, spent.calls <= domains*2*8, "%d platform calls in a minute about a rejected version", spent.calls)
 
-		told := 0
+		recorded := 0
 
 		for _, id := range c.ids() {
 			n := c.node(id).count(event.VersionRefused)
-			assert.Assert(t, n <= 1, "%s told it %d times", id, n)
-			told += n
+			assert.Assert(t, n <= 1, "%s recorded the rejection %d times", id, n)
+			recorded += n
 		}
 
-		assert.Assert(t, told >= domains)
+		assert.Assert(t, recorded >= domains)
 
-		// The next good version is taken.
+		// The next valid version is activated.
 		c.number++
-		c.settle(c.change())
+		c.waitActive(c.change())
 		c.stopAll()
 	})
 }
 
-// The platform comes back from a copy that lacks the last versions. Nodes must
-// not go back, and the next version must be above all that nodes hold.
-func TestPlatformBackFromAnOlderCopy(t *testing.T) {
+// The platform is restored from a copy that lacks the last versions. Nodes must not
+// return to an older version, and the next version number must be above that of all
+// nodes.
+func TestPlatformRestoredFromOlderCopyIsRepaired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 40, 5)
-		c.settle(c.accept())
+		c.waitActive(c.accept())
 
 		old := c.platform.Snapshot()
 
-		c.settle(c.change())
+		c.waitActive(c.change())
 		third := c.change()
-		c.settle(third)
+		c.waitActive(third)
 
 		c.platform.Restore(old)
 		time.Sleep(5 * time.Second)
@@ -176,31 +177,31 @@
 		assert.Equal(t, head.Version.Number, third, "the watchers repair the platform")
 		assert.Equal(t, len(c.behind(third)), 0)
 
-		// Also if the copy is empty.
+		// The same holds for an empty copy.
 		c.platform.Restore(nil)
 		time.Sleep(time.Minute)
 
 		assert.Equal(t, c.change(), third+1)
-		c.settle(third + 1)
+		c.waitActive(third + 1)
 		c.stopAll()
 	})
 }
 
-// A domain can't reach the platform, and another neither the platform nor the
-// others. The first learns from its peers; the second goes on with what it has
-// and catches up when it is healed.
-func TestDomainsCutOffFromThePlatform(t *testing.T) {
+// One domain can't reach the platform and learns a version from its peers. Then the
+// platform is down for all: the fleet keeps the version it has, and catches up when
+// the platform is back.
+func TestDomainsWithoutPlatformCatchUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startCluster(t, 40, 5)
-		c.settle(c.accept())
+		c.waitActive(c.accept())
 
 		c.platform.SetFaults(platform.Faults{Cut: []string{"d0"}})
-		c.settle(c.change())
+		c.waitActive(c.change())
 
 		c.platform.SetFaults(platform.Faults{Down: true})
 		time.Sleep(10 * time.Minute)
 
-		// Long down, a fresh process still learns the newest version, from peers.
+		// A new process still gets the newest version from peers.
 		id := c.ids()[0]
 		domain := c.node(id).domain
 		c.kill(id)
@@ -208,26 +209,26 @@
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, n.holder.Number(), c.number)
 
-		// All come back at once and must not arrive together.
+		// The watchers must not all reconnect at once.
 		before := c.traffic()
 		c.platform.SetFaults(platform.Faults{})
 		time.Sleep(20 * time.Second)
 
 		calls := c.traffic().since(before).calls
-		assert.Assert(t, calls <= domains*2*3, "%d calls when the platform is back", calls)
-		c.settle(c.change())
+		assert.Assert(t, calls <= domains*2*3, "%d platform calls after the platform is back", calls)
+		c.waitActive(c.change())
 		c.stopAll()
 	})
 }
 
-// Most of the fleet dies and is started again within a second. If each fresh
-// process went to the platform for the tree, the platform would be down next.
-func TestHerdOfRestartsSparesThePlatform(t *testing.T) {
+// Most of the fleet restarts within a second. If each new process read the tree from
+// the platform, it would overload the platform.
+func TestMassRestartLimitsPlatformCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 200
 
 		c := startCluster(t, size, 40)
-		c.settle(c.accept())
+		c.waitActive(c.accept())
 
 		before := c.traffic()
 
@@ -237,24 +238,24 @@
 			c.start(nodeID(i), domain)
 		}
 
-		took := c.settle(c.number)
+		took := c.waitActive(c.number)
 		time.Sleep(5 * time.Second)
 
 		spent := c.traffic().since(before)
-		t.Logf("%d restarts: %v, %d platform calls, %d pulls, %d messages", size-20, took, spent.calls, spent.wholes, spent.messages)
+		t.Logf("%d restarts: %v, %d platform calls, %d pulls, %d messages", size-20, took, spent.calls, spent.pulls, spent.messages)
 		assert.Assert(t, spent.calls <= domains*2*6, "%d platform calls", spent.calls)
-		assert.Assert(t, spent.wholes < 3*size, "%d pulls", spent.wholes)
+		assert.Assert(t, spent.pulls < 3*size, "%d pulls", spent.pulls)
 		c.stopAll()
 	})
 }
 
-// The whole fleet is replaced, and nobody holds a version any more.
-func TestWholeFleetReplacedReadsThePlatformAFewTimes(t *testing.T) {
+// The whole fleet is replaced, and no running node has a version.
+func TestFleetReplacementLimitsPlatformCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 100
 
 		c := startCluster(t, size, 200)
-		c.settle(c.accept())
+		c.waitActive(c.accept())
 
 		for i := range size {
 			c.kill(nodeID(i))
@@ -266,21 +267,21 @@
 			c.start(nodeID(i), []string{"d0", "d1", "d2", "d3"}[i%domains])
 		}
 
-		took := c.settle(c.number)
+		took := c.waitActive(c.number)
 		spent := c.traffic().since(before)
-		t.Logf("%d processes: %v, %d platform calls, %d pulls", size, took, spent.calls, spent.wholes)
+		t.Logf("%d processes: %v, %d platform calls, %d pulls", size, took, spent.calls, spent.pulls)
 		assert.Assert(t, spent.calls <= domains*2*8, "%d platform calls", spent.calls)
 		c.stopAll()
 	})
 }
 
-// Changes in quick succession: Frugal sends them as fewer deltas, Fast sooner.
-func TestFrugalSavesBytesOnABurst(t *testing.T) {
+// In a burst of changes, Frugal sends fewer deltas and Fast has less latency.
+func TestFrugalSendsFewerBytesInBurst(t *testing.T) {
 	burst := func(opts ...propagation.Option) (bytes int, slowest time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
 			c := startCluster(t, 100, 40, opts...)
-			c.settle(c.accept())
-			c.settle(c.change())
+			c.waitActive(c.accept())
+			c.waitActive(c.change())
 			time.Sleep(10 * time.Second)
 
 			before := c.traffic()
@@ -290,7 +291,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 
-			slowest = c.settle(c.number)
+			slowest = c.waitActive(c.number)
 			bytes = c.traffic().since(before).bytes
 			c.stopAll()
 		})
@@ -302,10 +303,10 @@
 	frugal, frugalTime := burst(propagation.Frugal())
 
 	t.Logf("fast %d bytes, last change after %v; frugal %d bytes, %v", fast, fastTime, frugal, frugalTime)
-	// The changes last for a second and a pause for two: a watcher takes the first
-	// and the last, so a node gets two deltas, and by chance in gossip two more, of
-	// the ten that Fast sends.
+	// The changes take one second and Frugal pauses for two: a watcher takes the first
+	// and the last. A node gets two deltas, and sometimes two more through gossip,
+	// where Fast sends ten.
 	assert.Assert(t, 3*frugal < fast)
 	assert.Assert(t, fastTime < frugalTime)
-	assert.Assert(t, frugalTime < 5*time.Second, "the changes came one at a time")
+	assert.Assert(t, frugalTime < 5*time.Second, "the changes were applied one at a time")
 }
--- a/internal/propagation/pull.go
+++ b/internal/propagation/pull.go
@@ -11,25 +11,25 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// PullRequest asks a peer for what leads up from the version held, after the
-// path at which the piece before ended.
+// PullRequest requests the delta from the version Have, starting behind the path
+// After, at which the previous piece ended.
 type PullRequest struct {
 	Have  uint64 `msgpack:"Have"`
 	After string `msgpack:"After,omitempty"`
 }
 
-// source is a version number and who is said to hold it.
+// source is a version number and the address of a node that announced it.
 type source struct {
 	number  uint64
 	address string
 }
 
-// Serve answers a peer that is behind.
+// ServePull returns the delta to a peer that is behind.
 //
-// After a herd of restarts many nodes want the whole tree at once. A few are
-// served at a time and the rest told when to come back; without the bound all
-// would be slow together, and time out together.
-func (s *Spreader) Serve(_ context.Context, in PullRequest) (Delta, error) {
+// After a mass restart many nodes pull the whole tree at once. A few are served at a
+// time and the rest get a retry delay; without the limit all pulls would be slow and
+// time out together.
+func (s *Spreader) ServePull(_ context.Context, in PullRequest) (Delta, error) {
 	d, err := s.holder.Delta(in.Have, in.After)
 	if err != nil {
 		return Delta{}, err
@@ -40,29 +40,30 @@
 		case s.serving <- struct{}{}:
 			defer func() { <-s.serving }()
 		default:
-			return Delta{RetryMs: comeBack.Milliseconds()}, nil
+			return Delta{RetryMs: serveRetryPause.Milliseconds()}, nil
 		}
 	}
 
 	return d.pack(), nil
 }
 
-// comeBack is about how long a few whole trees take to be served.
-const comeBack = 100 * time.Millisecond
+// serveRetryPause is about the time in which MaxTreesServed whole trees are served.
+const serveRetryPause = 100 * time.Millisecond
 
-// Number is the version that a node holds.
+// Number is the active version number of a node.
 type Number struct {
 	Number uint64 `msgpack:"Number"`
 }
 
-// Tell answers which version is held here.
-func (s *Spreader) Tell(context.Context, struct{}) (Number, error) {
+// ServeNumber returns the active version number.
+func (s *Spreader) ServeNumber(context.Context, struct{}) (Number, error) {
 	return Number{Number: s.holder.Number()}, nil
 }
 
-// Hear is called when a peer says which version it holds. It does not wait.
+// Hear starts a pull in the background if a peer has a newer version. It does not
+// block.
 func (s *Spreader) Hear(ctx context.Context, address string, number uint64) {
-	if number <= s.holder.Number() || s.options.Strategy == StrategyPoll || s.isRefused(number) {
+	if number <= s.holder.Number() || s.options.Strategy == StrategyPoll || s.isRejected(number) {
 		return
 	}
 
@@ -73,34 +74,34 @@
 		s.wanted = source{number, address}
 	}
 
-	if s.filling {
+	if s.catchingUp {
 		return
 	}
 
-	s.filling = true
+	s.catchingUp = true
 
-	go s.fill(context.WithoutCancel(ctx))
+	go s.catchUp(context.WithoutCancel(ctx))
 }
 
-// fill pulls what was heard of, one pull at a time for the whole node: every
-// gossip message of a round names the new version, and a pull for each would
-// multiply the bytes.
-func (s *Spreader) fill(ctx context.Context) {
+// catchUp pulls the wanted version, with one pull at a time for the whole node: every
+// gossip message of a round carries the new number, and a pull for each would multiply
+// the traffic.
+func (s *Spreader) catchUp(ctx context.Context) {
 	defer func() {
 		s.mu.Lock()
-		s.filling = false
+		s.catchingUp = false
 		s.mu.Unlock()
 	}()
 
-	// The push that is on its way is cheaper than a pull.
-	idle.For(ctx, jitter(s.options.Wait))
+	// A push that is already in flight is cheaper than a pull.
+	idle.For(ctx, jitter(s.options.MaxPullDelay))
 
-	for tries := range maxTries {
+	for attempt := range maxPullAttempts {
 		s.mu.Lock()
 		from := s.wanted
 		s.mu.Unlock()
 
-		if from.number <= s.holder.Number() || s.isRefused(from.number) {
+		if from.number <= s.holder.Number() || s.isRejected(from.number) {
 			return
 		}
 
@@ -108,16 +109,17 @@
 			continue
 		}
 
-		idle.For(ctx, jitter(s.options.Wait<<tries))
-		s.tryOther()
+		idle.For(ctx, jitter(s.options.MaxPullDelay<<attempt))
+		s.chooseOtherSource()
 	}
 }
 
-// maxTries bounds one fill; the next gossip message starts another.
-const maxTries = 4
+// maxPullAttempts limits the attempts of one catchUp; the next gossip message starts
+// another.
+const maxPullAttempts = 4
 
-// tryOther takes any other node in place of one that did not help.
-func (s *Spreader) tryOther() {
+// chooseOtherSource replaces a source that failed by a random other node.
+func (s *Spreader) chooseOtherSource() {
 	others := s.options.Others()
 	if len(others) == 0 {
 		return
@@ -129,44 +131,43 @@
 	s.wanted.address = others[rand.IntN(len(others))]
 }
 
-// pull brings the node up to what a peer holds.
+// pull brings this node to the version of a peer.
 func (s *Spreader) pull(ctx context.Context, address string) error {
-	d, err := s.collect(ctx, address, s.holder.Number())
+	d, err := s.pullDelta(ctx, address, s.holder.Number())
 	if err != nil {
 		return err
 	}
 
-	err = s.take(d, address, true)
+	err = s.applyDelta(d, address, true)
 	if err == nil || errors.Is(err, settings.ErrInvalid) || d.From == 0 {
 		return err
 	}
 
-	// The delta does not fit what is held here, such as when a version with the
-	// same number came from a platform with an older copy.
-	if d, err = s.collect(ctx, address, 0); err != nil {
+	// The delta does not fit the active version, such as when a platform restored from
+	// an older copy reused its version number.
+	if d, err = s.pullDelta(ctx, address, 0); err != nil {
 		return err
 	}
 
-	return s.take(d, address, true)
+	return s.applyDelta(d, address, true)
 }
 
-// collect asks for the pieces of a delta and puts them together. If the peer
-// moves on to another version meanwhile, the pieces do not belong together and
-// the pull starts again.
-func (s *Spreader) collect(ctx context.Context, address string, have uint64) (Delta, error) {
-	all, err := s.piece(ctx, address, PullRequest{Have: have})
+// pullDelta requests all pieces of a delta and combines them. If the peer activates
+// another version meanwhile, the pieces do not fit together and the pull starts again.
+func (s *Spreader) pullDelta(ctx context.Context, address string, have uint64) (Delta, error) {
+	all, err := s.pullPiece(ctx, address, PullRequest{Have: have})
 	if err != nil {
 		return Delta{}, err
 	}
 
 	for all.Rest != "" {
-		d, err := s.piece(ctx, address, PullRequest{Have: have, After: all.Rest})
+		d, err := s.pullPiece(ctx, address, PullRequest{Have: have, After: all.Rest})
 		if err != nil {
 			return Delta{}, err
 		}
 
 		if d.Version.Digest != all.Version.Digest || d.From != all.From {
-			all, err = s.piece(ctx, address, PullRequest{Have: have})
+			all, err = s.pullPiece(ctx, address, PullRequest{Have: have})
 			if err != nil {
 				return Delta{}, err
 			}
@@ -185,9 +186,10 @@
 	return all, nil
 }
 
-// piece asks for one piece, and comes back as told while the peer is busy.
-func (s *Spreader) piece(ctx context.Context, address string, in PullRequest) (Delta, error) {
-	for tries := range maxTries {
+// pullPiece requests one piece, and retries after the peer's delay while the peer is
+// busy.
+func (s *Spreader) pullPiece(ctx context.Context, address string, in PullRequest) (Delta, error) {
+	for attempt := range maxPullAttempts {
 		var d Delta
 
 		s.Pulls.Add(1)
@@ -197,7 +199,7 @@
 			return d, err
 		}
 
-		idle.For(ctx, jitter(time.Duration(d.RetryMs)*time.Millisecond<<tries))
+		idle.For(ctx, jitter(time.Duration(d.RetryMs)*time.Millisecond<<attempt))
 	}
 
 	return Delta{}, ErrDelta.With("%s is busy", address)
--- a/internal/propagation/pull_test.go
+++ b/internal/propagation/pull_test.go
@@ -15,7 +15,7 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// slowPeer answers each pull with one delta, after a while.
+// slowPeer answers each pull with the same delta after 300 ms.
 type slowPeer struct {
 	delta propagation.Delta
 	pulls int
@@ -34,18 +34,18 @@
 	return nil
 }
 
-func whole(s *settings.Snapshot) propagation.Delta {
+func treeDelta(s *settings.Snapshot) propagation.Delta {
 	v := s.Version()
 	v.Branches = nil
 
 	return propagation.Delta{Version: v, Changed: s.Records()}
 }
 
-// Within one round of gossip fifty peers say that they hold a newer version. A
-// pull for each would be fifty times the bytes, on every node at once.
-func TestOneFillAtATime(t *testing.T) {
+// Fifty peers announce a newer version within one gossip round. A pull for each would
+// multiply the traffic by fifty on every node.
+func TestNodeRunsOnePullAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &slowPeer{delta: whole(snapshots(t, 2)[1])}
+		p := &slowPeer{delta: treeDelta(snapshots(t, 2)[1])}
 		h := propagation.NewHolder(timeline.New())
 		s := propagation.New(h, nil, nil, p, timeline.New())
 
@@ -60,10 +60,10 @@
 	})
 }
 
-// A peer with another program holds a version that this node finds bad, and says
-// so in each round of gossip. To ask for it each time would be a storm that
-// lasts until the next version.
-func TestBadVersionFromAPeerIsPulledOnce(t *testing.T) {
+// A peer with another program version announces a version that this node considers
+// invalid in each gossip round. The node must not pull it each time until the next
+// version.
+func TestInvalidVersionFromPeerIsPulledOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bad := tree(2)
 		service := "nowhere"
--- a/internal/propagation/push.go
+++ b/internal/propagation/push.go
@@ -7,8 +7,8 @@
 	"github.com/pollencart/pollencart/internal/peer"
 )
 
-// Push brings a version to a member: the delta if it is known to fit, or only
-// the number, upon which the member pulls from Address if it is behind.
+// Push sends a version to a member: the delta if it is known to fit, else only the
+// number, and the member pulls from Address if it is behind.
 type Push struct {
 	Address string `msgpack:"Address"`
 	Number  uint64 `msgpack:"Number"`
@@ -28,19 +28,19 @@
 	return nil
 }
 
-// PushAck tells which version the member holds now, and whether it refuses the
-// one that was pushed.
+// PushAck returns the member's active version number, and whether the member rejected
+// the pushed version.
 type PushAck struct {
 	Have    uint64 `msgpack:"Have"`
 	Refused bool   `msgpack:"Refused,omitempty"`
 }
 
-// maxPush bounds a delta that is pushed unasked; a larger one is pulled, so that
-// it comes from one source only.
-const maxPush = 64 << 10
+// maxPushBytes limits a pushed delta. A larger one is pulled, so that a member
+// receives it from one source only.
+const maxPushBytes = 64 << 10
 
-// Receive takes a push.
-func (s *Spreader) Receive(ctx context.Context, in Push) (PushAck, error) {
+// ServePush handles a push from a peer.
+func (s *Spreader) ServePush(ctx context.Context, in Push) (PushAck, error) {
 	if s.options.Strategy == StrategyPoll {
 		return PushAck{Have: in.Number}, nil
 	}
@@ -49,90 +49,90 @@
 	case in.Delta == nil:
 		s.Hear(ctx, in.Address, in.Number)
 	case in.Delta.From == 0 || in.Delta.From == s.holder.Number():
-		if s.take(*in.Delta, in.Address, false) != nil {
+		if s.applyDelta(*in.Delta, in.Address, false) != nil {
 			s.Hear(ctx, in.Address, in.Number)
 		}
 	}
 
-	return PushAck{Have: s.holder.Number(), Refused: s.isRefused(in.Number)}, nil
+	return PushAck{Have: s.holder.Number(), Refused: s.isRejected(in.Number)}, nil
 }
 
-// link is the way to one member; one push is under way on it at a time.
-type link struct {
-	member Member
-	acked  uint64
-	busy   bool
+// pushSession is the push state of one member, with at most one push in flight.
+type pushSession struct {
+	member  Member
+	acked   uint64
+	running bool
 }
 
-// passOn pushes the version held to the members behind this one in the tree. A
-// node that learned it from outside the tree pushes it to the top as well.
-func (s *Spreader) passOn(outside bool) {
+// propagate pushes the active version to the children of this node in the tree. If the
+// version came from outside the tree, the node also announces it to the root.
+func (s *Spreader) propagate(fromOutsideTree bool) {
 	if s.options.Strategy == StrategyPoll {
 		return
 	}
 
 	order := Order(s.options.Domain, s.options.Members())
-	self := index(order, s.options.ID)
+	self := memberIndex(order, s.options.ID)
 
 	if s.options.Strategy == StrategyFullPush {
-		if outside {
-			s.feedAll(order, order, false)
+		if fromOutsideTree {
+			s.startPushes(order, order, false)
 		}
 
 		return
 	}
 
-	s.feedAll(order, children(order, self, s.options.Fanout), false)
+	s.startPushes(order, children(order, self, s.options.Fanout), false)
 
-	if outside && self > 0 {
-		s.feedAll(order, order[:1], true)
+	if fromOutsideTree && self > 0 {
+		s.startPushes(order, order[:1], true)
 	}
 }
 
-func (s *Spreader) feedAll(order, members []Member, offer bool) {
+func (s *Spreader) startPushes(order, members []Member, numberOnly bool) {
 	for _, m := range members {
 		if m.ID != s.options.ID {
-			s.feed(order, m, offer)
+			s.startPush(order, m, numberOnly)
 		}
 	}
 }
 
-// feed starts to bring a member up to the version held. If a push to it is under
-// way, that one goes on to the newest version by itself.
-func (s *Spreader) feed(order []Member, m Member, offer bool) {
+// startPush starts to push the active version to a member. If a push to the member is
+// running, it continues with the newest version by itself.
+func (s *Spreader) startPush(order []Member, m Member, numberOnly bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	l := s.links[m.ID]
+	l := s.sessions[m.ID]
 	if l == nil || l.member != m {
-		l = &link{member: m}
-		s.links[m.ID] = l
+		l = &pushSession{member: m}
+		s.sessions[m.ID] = l
 	}
 
-	if l.busy {
+	if l.running {
 		return
 	}
 
-	l.busy = true
+	l.running = true
 
-	go s.drive(order, l, offer)
+	go s.runPushes(order, l, numberOnly)
 }
 
-func (s *Spreader) drive(order []Member, l *link, offer bool) {
+func (s *Spreader) runPushes(order []Member, l *pushSession, numberOnly bool) {
 	for {
 		number := s.holder.Number()
-		if !s.bring(l, number, offer) {
-			// A member that does not answer would leave all behind it waiting for
-			// gossip; who pushed to it takes its place.
-			position := index(order, l.member.ID)
-			s.feedAll(order, children(order, position, s.options.Fanout), false)
+		if !s.pushWithRetry(l, number, numberOnly) {
+			// The members below an unreachable one would have to wait for gossip, so
+			// this node pushes to them in its place.
+			position := memberIndex(order, l.member.ID)
+			s.startPushes(order, children(order, position, s.options.Fanout), false)
 		}
 
-		time.Sleep(s.options.Pace)
+		time.Sleep(s.options.PushInterval)
 
 		s.mu.Lock()
 		if s.holder.Number() == number {
-			l.busy = false
+			l.running = false
 			s.mu.Unlock()
 
 			return
@@ -141,22 +141,22 @@
 	}
 }
 
-// bring pushes once, and once more if the member holds another version than was
-// thought. It reports whether the member answered.
-func (s *Spreader) bring(l *link, number uint64, offer bool) bool {
+// pushWithRetry pushes once, and a second time if the member's version differs from
+// the assumed one. It reports whether the member answered.
+func (s *Spreader) pushWithRetry(l *pushSession, number uint64, numberOnly bool) bool {
 	base := l.acked
 	if base == 0 {
 		base = s.holder.Previous()
 	}
 
 	for range 2 {
-		ack, err := s.push(l.member, base, offer)
+		ack, err := s.push(l.member, base, numberOnly)
 		if err != nil {
 			return false
 		}
 
 		l.acked = ack.Have
-		if ack.Have >= number || ack.Refused || offer {
+		if ack.Have >= number || ack.Refused || numberOnly {
 			return true
 		}
 
@@ -166,13 +166,13 @@
 	return true
 }
 
-func (s *Spreader) push(m Member, base uint64, offer bool) (PushAck, error) {
+func (s *Spreader) push(m Member, base uint64, numberOnly bool) (PushAck, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.options.Timeout)
 	defer cancel()
 
 	p := Push{Address: s.options.Address, Number: s.holder.Number()}
 
-	if d, err := s.delta(base); err == nil && !offer {
+	if d, err := s.pushableDelta(base); err == nil && !numberOnly {
 		p.Delta, p.Number = &d, d.Version.Number
 		s.Pushes.Add(1)
 	} else {
@@ -186,8 +186,8 @@
 	return ack, err
 }
 
-// delta returns what can be pushed unasked.
-func (s *Spreader) delta(base uint64) (Delta, error) {
+// pushableDelta returns the delta from base if it is small enough to be pushed.
+func (s *Spreader) pushableDelta(base uint64) (Delta, error) {
 	if s.options.Strategy == StrategyFullPush {
 		base = 0
 	}
@@ -201,7 +201,7 @@
 		return Delta{}, ErrDelta
 	}
 
-	if d = d.pack(); d.size() > maxPush {
+	if d = d.pack(); d.size() > maxPushBytes {
 		return Delta{}, ErrDelta
 	}
 
--- a/internal/propagation/race_test.go
+++ b/internal/propagation/race_test.go
@@ -4,9 +4,9 @@
 
 import "runtime"
 
-// underRaceDetector runs the fleets of a bubble on one processor. With more, the
-// detector itself ends the process now and then ("ThreadSanitizer: CHECK failed:
-// tsan_rtl.cpp:346"), most likely since timers of one bubble run on several
-// processors in one context of the detector. Races are found all the same: the
-// detector looks at the order of synchronization, not of time.
+// underRaceDetector limits the tests to one processor. With more, the race detector
+// occasionally ends the process ("ThreadSanitizer: CHECK failed: tsan_rtl.cpp:346"),
+// most likely since timers of one synctest bubble run on several processors in one
+// context of the detector. Races are still found, since the detector evaluates the
+// order of synchronization and not of time.
 func underRaceDetector() { runtime.GOMAXPROCS(1) }
--- a/internal/propagation/watch.go
+++ b/internal/propagation/watch.go
@@ -15,41 +15,39 @@
 // fromPlatform is the source of versions that were read from the platform.
 const fromPlatform = "platform"
 
-// watchCheck is how often a node asks whether it is still, or has become, one of
-// the watchers.
-const watchCheck = time.Second
+// watcherCheckInterval is how often a node checks whether it is a watcher.
+const watcherCheckInterval = time.Second
 
-// watch follows the platform's head while this node is one of the watchers of
-// its failure domain. It returns when ctx ends.
+// watch follows the platform's head while this node is one of the watchers of its
+// failure domain. It returns when ctx ends.
 func (s *Spreader) watch(ctx context.Context) {
 	up, pause := true, s.options.Retry
 
 	for ctx.Err() == nil {
 		if !s.options.Watching() {
-			idle.For(ctx, watchCheck)
+			idle.For(ctx, watcherCheckInterval)
 
 			continue
 		}
 
-		err := s.follow(ctx)
+		err := s.followHead(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 
-		s.tellPlatform(&up, err)
+		s.recordPlatformState(&up, err)
 
 		if err == nil {
 			pause = s.options.Retry
 		}
 
-		// All watches end together in an outage; full jitter keeps them from
-		// coming back together.
+		// All watches end together in an outage; full jitter spreads the reconnects.
 		idle.For(ctx, jitter(pause))
 		pause = min(2*pause, s.options.MaxRetry)
 	}
 }
 
-func (s *Spreader) tellPlatform(up *bool, err error) {
+func (s *Spreader) recordPlatformState(up *bool, err error) {
 	if err != nil && *up {
 		s.recorder.Record(event.PlatformLost, timeline.Entry{Detail: err.Error()})
 	}
@@ -61,8 +59,9 @@
 	*up = err == nil
 }
 
-// follow takes each head that the platform sends, and reads it now and then.
-func (s *Spreader) follow(ctx context.Context) error {
+// followHead applies each head that the watch delivers, and also reads the head at
+// intervals.
+func (s *Spreader) followHead(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
@@ -71,10 +70,10 @@
 		return err
 	}
 
-	check := time.NewTicker(watchCheck)
+	check := time.NewTicker(watcherCheckInterval)
 	defer check.Stop()
 
-	recheck := time.NewTimer(s.recheckIn())
+	recheck := time.NewTimer(s.recheckDelay())
 	defer recheck.Stop()
 
 	for {
@@ -84,7 +83,7 @@
 				return nil
 			}
 
-			if err := s.takeStream(ctx, e, changes); err != nil {
+			if err := s.applyStream(ctx, e, changes); err != nil {
 				return err
 			}
 		case <-check.C:
@@ -96,36 +95,38 @@
 				return err
 			}
 
-			recheck.Reset(s.recheckIn())
+			recheck.Reset(s.recheckDelay())
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-func (s *Spreader) recheckIn() time.Duration { return s.options.Recheck/2 + jitter(s.options.Recheck) }
+func (s *Spreader) recheckDelay() time.Duration {
+	return s.options.RecheckInterval/2 + jitter(s.options.RecheckInterval)
+}
 
-// takeStream takes the newest head of those that are there.
-func (s *Spreader) takeStream(ctx context.Context, e platform.Entry, changes <-chan platform.Entry) error {
-	if err := s.takeHead(ctx, newest(e, changes).Value); err != nil {
+// applyStream applies the newest head that is available.
+func (s *Spreader) applyStream(ctx context.Context, e platform.Entry, changes <-chan platform.Entry) error {
+	if err := s.applyHead(ctx, newest(e, changes).Value); err != nil {
 		return err
 	}
 
-	return s.pace(ctx, changes)
+	return s.coalesceHeads(ctx, changes)
 }
 
-// pace reads heads for a while and takes only the last one, until there is a
-// while without any. Heads that were left in the stream meanwhile would come one
-// at a time, each a while later than the one before.
-func (s *Spreader) pace(ctx context.Context, changes <-chan platform.Entry) error {
-	if s.options.Pace == 0 {
+// coalesceHeads collects heads for PushInterval and applies only the last one, until
+// an interval passes without any. Heads left in the stream would be applied one at a
+// time, each an interval later than the one before.
+func (s *Spreader) coalesceHeads(ctx context.Context, changes <-chan platform.Entry) error {
+	if s.options.PushInterval == 0 {
 		return nil
 	}
 
 	for {
-		last, open := collect(ctx, changes, s.options.Pace)
+		last, open := lastWithin(ctx, changes, s.options.PushInterval)
 		if last != nil {
-			if err := s.takeHead(ctx, last.Value); err != nil {
+			if err := s.applyHead(ctx, last.Value); err != nil {
 				return err
 			}
 		}
@@ -136,9 +137,9 @@
 	}
 }
 
-// collect returns the last entry that came within a time, and whether the stream
+// lastWithin returns the last entry that arrives within a time, and whether the stream
 // is still open.
-func collect(ctx context.Context, changes <-chan platform.Entry, within time.Duration) (*platform.Entry, bool) {
+func lastWithin(ctx context.Context, changes <-chan platform.Entry, within time.Duration) (*platform.Entry, bool) {
 	var last *platform.Entry
 
 	end := time.After(within)
@@ -159,8 +160,7 @@
 	}
 }
 
-// newest skips heads that were followed by another while this node was busy or
-// frozen.
+// newest skips heads that were replaced while this node was busy or stalled.
 func newest(e platform.Entry, changes <-chan platform.Entry) platform.Entry {
 	for {
 		select {
@@ -177,16 +177,16 @@
 }
 
 // Learn reads the head at once. The node through which a version was accepted
-// holds it before the operator is told: a platform that comes back from an older
-// copy a moment later would else find nobody who knows it.
+// activates it before it answers the operator: else a platform restored from an older
+// copy right afterwards would find no node that has the version.
 func (s *Spreader) Learn(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout)
 	defer cancel()
 
-	_ = s.recheck(ctx) // the watchers bring it if the platform went away meanwhile
+	_ = s.recheck(ctx) // on failure, the watchers deliver the version
 }
 
-// recheck reads the head. A platform that lost it gets back what this node holds.
+// recheck reads the head, and repairs a platform that lost it.
 func (s *Spreader) recheck(ctx context.Context) error {
 	e, err := s.store.Get(ctx, acceptance.HeadKey)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -197,66 +197,66 @@
 		return err
 	}
 
-	return s.takeHead(ctx, e.Value)
+	return s.applyHead(ctx, e.Value)
 }
 
-func (s *Spreader) takeHead(ctx context.Context, data []byte) error {
+func (s *Spreader) applyHead(ctx context.Context, data []byte) error {
 	head, err := acceptance.DecodeHead(data)
 	if err != nil {
 		return err
 	}
 
-	held := s.holder.Load()
-	if held == nil {
-		return s.takeWhole(ctx, head)
+	active := s.holder.Load()
+	if active == nil {
+		return s.readTree(ctx, head)
 	}
 
-	now, next := held.Version(), head.Version
+	now, next := active.Version(), head.Version
 
 	switch {
-	case next.Number == now.Number && next.Digest == now.Digest, s.isRefused(next.Number):
+	case next.Number == now.Number && next.Digest == now.Digest, s.isRejected(next.Number):
 		return nil
 	case next.Number <= now.Number:
 		return s.repair(ctx)
 	case head.Base == now.Number:
-		return s.takeChange(ctx, head)
+		return s.readChange(ctx, head)
 	default:
-		return s.takeUnrelated(ctx, head)
+		return s.readUnrelated(ctx, head)
 	}
 }
 
-// takeChange reads only the branches that changed.
-func (s *Spreader) takeChange(ctx context.Context, head acceptance.Head) error {
+// readChange reads only the branches that changed.
+func (s *Spreader) readChange(ctx context.Context, head acceptance.Head) error {
 	records, err := s.acceptor.Changed(ctx, head)
 	if err != nil {
 		return err
 	}
 
 	d := Delta{From: head.Base, Version: head.Version, Changed: records, Removed: head.Removed}
-	if s.take(d, fromPlatform, true) == nil || s.isRefused(head.Version.Number) {
+	if s.applyDelta(d, fromPlatform, true) == nil || s.isRejected(head.Version.Number) {
 		return nil
 	}
 
-	return s.takeUnrelated(ctx, head)
+	return s.readUnrelated(ctx, head)
 }
 
-// takeUnrelated is for a head that is not the one after the version held: this
-// node missed some, or the platform came back from an older copy and went on
-// without the version held here.
-func (s *Spreader) takeUnrelated(ctx context.Context, head acceptance.Head) error {
+// readUnrelated handles a head that does not follow the active version: this node
+// missed versions, or the platform was restored from an older copy and accepted
+// versions without the active one.
+func (s *Spreader) readUnrelated(ctx context.Context, head acceptance.Head) error {
 	if err := s.repair(ctx); err != nil {
 		return err
 	}
 
-	return s.takeWhole(ctx, head)
+	return s.readTree(ctx, head)
 }
 
-func (s *Spreader) takeWhole(ctx context.Context, head acceptance.Head) error {
+func (s *Spreader) readTree(ctx context.Context, head acceptance.Head) error {
 	snapshot, err := s.acceptor.Snapshot(ctx, head.Version, s.holder.Load())
 	if err != nil {
-		s.refuse(head.Version, fromPlatform, err)
+		s.reject(head.Version, fromPlatform, err)
 
-		if s.isRefused(head.Version.Number) {
+		if s.isRejected(head.Version.Number) {
 			return nil
 		}
 
@@ -264,13 +264,13 @@
 	}
 
 	if s.holder.OfferFrom(snapshot, fromPlatform) {
-		s.passOn(true)
+		s.propagate(true)
 	}
 
 	return nil
 }
 
-// repair gives a platform with an older copy back what this node holds.
+// repair restores the versions of this node to a platform with an older copy.
 func (s *Spreader) repair(ctx context.Context) error {
 	known := s.holder.Known()
 	if known.Snapshot == nil {
@@ -287,7 +287,7 @@
 	}
 
 	if errors.Is(err, platform.ErrConflict) {
-		return nil // another watcher repairs it; its head comes with the watch
+		return nil // another watcher repairs the platform; its head arrives through the watch
 	}
 
 	return err
