--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,7 +63,7 @@
 	store    *etcd.Store
 	acceptor *acceptance.Acceptor
 	holder   *propagation.Holder
-	spreader *propagation.Spreader
+	spreader *propagation.Propagator
 	started  time.Time
 
 	table  *membership.Table
--- a/internal/propagation/cluster_test.go
+++ b/internal/propagation/cluster_test.go
@@ -53,7 +53,7 @@
 type node struct {
 	id, domain string
 	holder     *propagation.Holder
-	propagator *propagation.Spreader
+	propagator *propagation.Propagator
 	recorder   *timeline.Recorder
 	stop       context.CancelFunc
 	// stalled suspends the node: it neither runs nor answers, and stays in the
--- a/internal/propagation/join.go
+++ b/internal/propagation/join.go
@@ -23,7 +23,7 @@
 // join pulls the newest version that a new process can find at its peers before the
 // process watches the platform. If all processes of a mass restart read from the
 // platform first, they would use up the rate limit that operators need for repairs.
-func (s *Spreader) join(ctx context.Context) {
+func (s *Propagator) join(ctx context.Context) {
 	pause := minJoinPause
 
 	for ctx.Err() == nil && s.holder.Number() == 0 {
@@ -45,7 +45,7 @@
 
 // newestPeerVersion returns the newest version of a few random nodes and the number of
 // nodes that answered.
-func (s *Spreader) newestPeerVersion(ctx context.Context) (best source, answered int) {
+func (s *Propagator) newestPeerVersion(ctx context.Context) (best source, answered int) {
 	others := s.options.Others()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 
--- a/internal/propagation/poll.go
+++ b/internal/propagation/poll.go
@@ -12,7 +12,7 @@
 const pollInterval = time.Second
 
 // poll implements StrategyPoll: every node reads the head from the platform.
-func (s *Spreader) poll(ctx context.Context) {
+func (s *Propagator) poll(ctx context.Context) {
 	for ctx.Err() == nil {
 		if e, err := s.store.Get(ctx, acceptance.HeadKey); err == nil {
 			_ = s.applyHead(ctx, e.Value)
--- a/internal/propagation/propagation.go
+++ b/internal/propagation/propagation.go
@@ -40,9 +40,9 @@
 	Do(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error
 }
 
-// Spreader keeps the holder at the newest version and passes new versions on to other
+// Propagator keeps the holder at the newest version and passes new versions on to other
 // nodes.
-type Spreader struct {
+type Propagator struct {
 	holder   *Holder
 	acceptor *acceptance.Acceptor
 	store    platform.Store
@@ -72,24 +72,24 @@
 // New returns a propagator.
 func New(
 	h *Holder, a *acceptance.Acceptor, s platform.Store, c Caller, r *timeline.Recorder, opts ...Option,
-) *Spreader {
+) *Propagator {
 	o := newOptions(opts...)
 
-	return &Spreader{
+	return &Propagator{
 		holder: h, acceptor: a, store: s, peers: c, recorder: r, options: o,
 		serving: make(chan struct{}, o.MaxTreesServed), sessions: map[string]*pushSession{},
 	}
 }
 
 // Register adds the peer methods to a server.
-func (s *Spreader) Register(server *peer.Server) {
+func (s *Propagator) Register(server *peer.Server) {
 	server.Handle(MethodPull, peer.Typed(s.ServePull))
 	server.Handle(MethodPush, peer.Typed(s.ServePush))
 	server.Handle(MethodNumber, peer.Typed(s.ServeNumber))
 }
 
 // Run keeps the holder up to date until ctx ends.
-func (s *Spreader) Run(ctx context.Context) {
+func (s *Propagator) Run(ctx context.Context) {
 	if s.options.Strategy == StrategyPoll {
 		s.poll(ctx)
 
@@ -102,7 +102,7 @@
 
 // Trouble returns why this node has not activated a newer version that it knows of, or
 // an empty string.
-func (s *Spreader) Trouble() string {
+func (s *Propagator) Trouble() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -117,7 +117,7 @@
 }
 
 // Heard returns the newest version number that this node knows of.
-func (s *Spreader) Heard() uint64 {
+func (s *Propagator) Heard() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -127,7 +127,7 @@
 // reject records a version that fails validation, and logs it once. Only a version
 // that arrived whole can be invalid; a piece that was damaged in transit is requested
 // again.
-func (s *Spreader) reject(v settings.Version, from string, err error) {
+func (s *Propagator) reject(v settings.Version, from string, err error) {
 	if !errors.Is(err, settings.ErrInvalid) {
 		return
 	}
@@ -142,7 +142,7 @@
 	}
 }
 
-func (s *Spreader) isRejected(number uint64) bool {
+func (s *Propagator) isRejected(number uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -150,7 +150,7 @@
 }
 
 // applyDelta activates the version of a delta and pushes it to other nodes.
-func (s *Spreader) applyDelta(d Delta, from string, fromOutsideTree bool) error {
+func (s *Propagator) applyDelta(d Delta, from string, fromOutsideTree bool) error {
 	if d.Version.Number <= s.holder.Number() || s.isRejected(d.Version.Number) {
 		return nil
 	}
--- a/internal/propagation/pull.go
+++ b/internal/propagation/pull.go
@@ -29,7 +29,7 @@
 // After a mass restart many nodes pull the whole tree at once. A few are served at a
 // time and the rest get a retry delay; without the limit all pulls would be slow and
 // time out together.
-func (s *Spreader) ServePull(_ context.Context, in PullRequest) (Delta, error) {
+func (s *Propagator) ServePull(_ context.Context, in PullRequest) (Delta, error) {
 	d, err := s.holder.Delta(in.Have, in.After)
 	if err != nil {
 		return Delta{}, err
@@ -56,13 +56,13 @@
 }
 
 // ServeNumber returns the active version number.
-func (s *Spreader) ServeNumber(context.Context, struct{}) (Number, error) {
+func (s *Propagator) ServeNumber(context.Context, struct{}) (Number, error) {
 	return Number{Number: s.holder.Number()}, nil
 }
 
 // Hear starts a pull in the background if a peer has a newer version. It does not
 // block.
-func (s *Spreader) Hear(ctx context.Context, address string, number uint64) {
+func (s *Propagator) Hear(ctx context.Context, address string, number uint64) {
 	if number <= s.holder.Number() || s.options.Strategy == StrategyPoll || s.isRejected(number) {
 		return
 	}
@@ -86,7 +86,7 @@
 // catchUp pulls the wanted version, with one pull at a time for the whole node: every
 // gossip message of a round carries the new number, and a pull for each would multiply
 // the traffic.
-func (s *Spreader) catchUp(ctx context.Context) {
+func (s *Propagator) catchUp(ctx context.Context) {
 	defer func() {
 		s.mu.Lock()
 		s.catchingUp = false
@@ -119,7 +119,7 @@
 const maxPullAttempts = 4
 
 // chooseOtherSource replaces a source that failed by a random other node.
-func (s *Spreader) chooseOtherSource() {
+func (s *Propagator) chooseOtherSource() {
 	others := s.options.Others()
 	if len(others) == 0 {
 		return
@@ -132,7 +132,7 @@
 }
 
 // pull brings this node to the version of a peer.
-func (s *Spreader) pull(ctx context.Context, address string) error {
+func (s *Propagator) pull(ctx context.Context, address string) error {
 	d, err := s.pullDelta(ctx, address, s.holder.Number())
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 
 // pullDelta requests all pieces of a delta and combines them. If the peer activates
 // another version meanwhile, the pieces do not fit together and the pull starts again.
-func (s *Spreader) pullDelta(ctx context.Context, address string, have uint64) (Delta, error) {
+func (s *Propagator) pullDelta(ctx context.Context, address string, have uint64) (Delta, error) {
 	all, err := s.pullPiece(ctx, address, PullRequest{Have: have})
 	if err != nil {
 		return Delta{}, err
@@ -188,7 +188,7 @@
 
 // pullPiece requests one piece, and retries after the peer's delay while the peer is
 // busy.
-func (s *Spreader) pullPiece(ctx context.Context, address string, in PullRequest) (Delta, error) {
+func (s *Propagator) pullPiece(ctx context.Context, address string, in PullRequest) (Delta, error) {
 	for attempt := range maxPullAttempts {
 		var d Delta
 
@@ -205,7 +205,7 @@
 	return Delta{}, ErrDelta.With("%s is busy", address)
 }
 
-func (s *Spreader) do(ctx context.Context, address, method string, in, out any) error {
+func (s *Propagator) do(ctx context.Context, address, method string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout)
 	defer cancel()
 
--- a/internal/propagation/push.go
+++ b/internal/propagation/push.go
@@ -40,7 +40,7 @@
 const maxPushBytes = 64 << 10
 
 // ServePush handles a push from a peer.
-func (s *Spreader) ServePush(ctx context.Context, in Push) (PushAck, error) {
+func (s *Propagator) ServePush(ctx context.Context, in Push) (PushAck, error) {
 	if s.options.Strategy == StrategyPoll {
 		return PushAck{Have: in.Number}, nil
 	}
@@ -66,7 +66,7 @@
 
 // propagate pushes the active version to the children of this node in the tree. If the
 // version came from outside the tree, the node also announces it to the root.
-func (s *Spreader) propagate(fromOutsideTree bool) {
+func (s *Propagator) propagate(fromOutsideTree bool) {
 	if s.options.Strategy == StrategyPoll {
 		return
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-func (s *Spreader) startPushes(order, members []Member, numberOnly bool) {
+func (s *Propagator) startPushes(order, members []Member, numberOnly bool) {
 	for _, m := range members {
 		if m.ID != s.options.ID {
 			s.startPush(order, m, numberOnly)
@@ -99,7 +99,7 @@
 
 // startPush starts to push the active version to a member. If a push to the member is
 // running, it continues with the newest version by itself.
-func (s *Spreader) startPush(order []Member, m Member, numberOnly bool) {
+func (s *Propagator) startPush(order []Member, m Member, numberOnly bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -118,7 +118,7 @@
 	go s.runPushes(order, l, numberOnly)
 }
 
-func (s *Spreader) runPushes(order []Member, l *pushSession, numberOnly bool) {
+func (s *Propagator) runPushes(order []Member, l *pushSession, numberOnly bool) {
 	for {
 		number := s.holder.Number()
 		if !s.pushWithRetry(l, number, numberOnly) {
@@ -143,7 +143,7 @@
 
 // pushWithRetry pushes once, and a second time if the member's version differs from
 // the assumed one. It reports whether the member answered.
-func (s *Spreader) pushWithRetry(l *pushSession, number uint64, numberOnly bool) bool {
+func (s *Propagator) pushWithRetry(l *pushSession, number uint64, numberOnly bool) bool {
 	base := l.acked
 	if base == 0 {
 		base = s.holder.Previous()
@@ -166,7 +166,7 @@
 	return true
 }
 
-func (s *Spreader) push(m Member, base uint64, numberOnly bool) (PushAck, error) {
+func (s *Propagator) push(m Member, base uint64, numberOnly bool) (PushAck, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.options.Timeout)
 	defer cancel()
 
@@ -187,7 +187,7 @@
 }
 
 // pushableDelta returns the delta from base if it is small enough to be pushed.
-func (s *Spreader) pushableDelta(base uint64) (Delta, error) {
+func (s *Propagator) pushableDelta(base uint64) (Delta, error) {
 	if s.options.Strategy == StrategyFullPush {
 		base = 0
 	}
--- a/internal/propagation/watch.go
+++ b/internal/propagation/watch.go
@@ -20,7 +20,7 @@
 
 // watch follows the platform's head while this node is one of the watchers of its
 // failure domain. It returns when ctx ends.
-func (s *Spreader) watch(ctx context.Context) {
+func (s *Propagator) watch(ctx context.Context) {
 	up, pause := true, s.options.Retry
 
 	for ctx.Err() == nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-func (s *Spreader) recordPlatformState(up *bool, err error) {
+func (s *Propagator) recordPlatformState(up *bool, err error) {
 	if err != nil && *up {
 		s.recorder.Record(event.PlatformLost, timeline.Entry{Detail: err.Error()})
 	}
@@ -61,7 +61,7 @@
 
 // followHead applies each head that the watch delivers, and also reads the head at
 // intervals.
-func (s *Spreader) followHead(ctx context.Context) error {
+func (s *Propagator) followHead(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
@@ -102,12 +102,12 @@
 	}
 }
 
-func (s *Spreader) recheckDelay() time.Duration {
+func (s *Propagator) recheckDelay() time.Duration {
 	return s.options.RecheckInterval/2 + jitter(s.options.RecheckInterval)
 }
 
 // applyStream applies the newest head that is available.
-func (s *Spreader) applyStream(ctx context.Context, e platform.Entry, changes <-chan platform.Entry) error {
+func (s *Propagator) applyStream(ctx context.Context, e platform.Entry, changes <-chan platform.Entry) error {
 	if err := s.applyHead(ctx, newest(e, changes).Value); err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 // coalesceHeads collects heads for PushInterval and applies only the last one, until
 // an interval passes without any. Heads left in the stream would be applied one at a
 // time, each an interval later than the one before.
-func (s *Spreader) coalesceHeads(ctx context.Context, changes <-chan platform.Entry) error {
+func (s *Propagator) coalesceHeads(ctx context.Context, changes <-chan platform.Entry) error {
 	if s.options.PushInterval == 0 {
 		return nil
 	}
@@ -179,7 +179,7 @@
 // Learn reads the head at once. The node through which a version was accepted
 // activates it before it answers the operator: else a platform restored from an older
 // copy right afterwards would find no node that has the version.
-func (s *Spreader) Learn(ctx context.Context) {
+func (s *Propagator) Learn(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout)
 	defer cancel()
 
@@ -187,7 +187,7 @@
 }
 
 // recheck reads the head, and repairs a platform that lost it.
-func (s *Spreader) recheck(ctx context.Context) error {
+func (s *Propagator) recheck(ctx context.Context) error {
 	e, err := s.store.Get(ctx, acceptance.HeadKey)
 	if errors.Is(err, platform.ErrNotFound) {
 		return s.repair(ctx)
@@ -200,7 +200,7 @@
 	return s.applyHead(ctx, e.Value)
 }
 
-func (s *Spreader) applyHead(ctx context.Context, data []byte) error {
+func (s *Propagator) applyHead(ctx context.Context, data []byte) error {
 	head, err := acceptance.DecodeHead(data)
 	if err != nil {
 		return err
@@ -226,7 +226,7 @@
 }
 
 // readChange reads only the branches that changed.
-func (s *Spreader) readChange(ctx context.Context, head acceptance.Head) error {
+func (s *Propagator) readChange(ctx context.Context, head acceptance.Head) error {
 	records, err := s.acceptor.Changed(ctx, head)
 	if err != nil {
 		return err
@@ -243,7 +243,7 @@
 // readUnrelated handles a head that does not follow the active version: this node
 // missed versions, or the platform was restored from an older copy and accepted
 // versions without the active one.
-func (s *Spreader) readUnrelated(ctx context.Context, head acceptance.Head) error {
+func (s *Propagator) readUnrelated(ctx context.Context, head acceptance.Head) error {
 	if err := s.repair(ctx); err != nil {
 		return err
 	}
@@ -251,7 +251,7 @@
 	return s.readTree(ctx, head)
 }
 
-func (s *Spreader) readTree(ctx context.Context, head acceptance.Head) error {
+func (s *Propagator) readTree(ctx context.Context, head acceptance.Head) error {
 	snapshot, err := s.acceptor.Snapshot(ctx, head.Version, s.holder.Load())
 	if err != nil {
 		s.reject(head.Version, fromPlatform, err)
@@ -271,7 +271,7 @@
 }
 
 // repair restores the versions of this node to a platform with an older copy.
-func (s *Spreader) repair(ctx context.Context) error {
+func (s *Propagator) repair(ctx context.Context) error {
 	known := s.holder.Known()
 	if known.Snapshot == nil {
 		return nil
