--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -97,7 +97,7 @@
 
 func (n *Node) accepted(v settings.Version) {
 	n.recorder.Record(event.VersionAccepted, timeline.Entry{Version: v.Number, Detail: v.AcceptanceID})
-	n.spreader.Learn(context.Background())
+	n.spreader.Refresh(context.Background())
 }
 
 func (n *Node) readyz(c echo.Context) error {
--- a/internal/propagation/watch.go
+++ b/internal/propagation/watch.go
@@ -176,10 +176,10 @@
 	}
 }
 
-// Learn reads the head at once. The node through which a version was accepted
+// Refresh reads the head at once. The node through which a version was accepted
 // activates it before it answers the operator: else a platform restored from an older
 // copy right afterwards would find no node that has the version.
-func (s *Propagator) Learn(ctx context.Context) {
+func (s *Propagator) Refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout)
 	defer cancel()
 
