--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -123,7 +123,7 @@
 	}{
 		{"pollencart_settings_version", "Version in force on this node.", func() float64 { return float64(n.holder.Number()) }},
 		{"pollencart_settings_in_force_since_seconds", "When the version came into force here, in Unix time.", func() float64 {
-			return float64(n.holder.Held().Since.UnixNano()) / float64(time.Second)
+			return float64(n.holder.Active().Since.UnixNano()) / float64(time.Second)
 		}},
 		{"pollencart_members_live", "Nodes thought to run.", func() float64 { return float64(len(n.table.Live())) }},
 		{"pollencart_gate_slots", "Slots of the backend server.", func() float64 { return float64(n.queue.Load().Slots) }},
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -42,7 +42,7 @@
 type nothing struct{}
 
 func (n *Node) ownStatus(context.Context, nothing) (operator.NodeStatus, error) {
-	held := n.holder.Held()
+	held := n.holder.Active()
 
 	return operator.NodeStatus{
 		ID: n.config.ID, FailureDomain: n.config.FailureDomain, Belief: membership.StateAlive.String(),
--- a/internal/propagation/holder.go
+++ b/internal/propagation/holder.go
@@ -15,7 +15,7 @@
 // Holder stores the active version of this node. The version number never decreases.
 type Holder struct {
 	recorder *timeline.Recorder
-	current  atomic.Pointer[Held]
+	current  atomic.Pointer[Active]
 
 	mu         sync.Mutex
 	changed    chan struct{}
@@ -23,9 +23,9 @@
 	changesets []changeset
 }
 
-// Held is a snapshot with the time at which it became active on this node and
+// Active is a snapshot with the time at which it became active on this node and
 // its source.
-type Held struct {
+type Active struct {
 	Snapshot *settings.Snapshot
 	Since    time.Time
 	Source   string
@@ -45,13 +45,13 @@
 	return nil
 }
 
-// Held returns the active snapshot with its activation time and source.
-func (h *Holder) Held() Held {
+// Active returns the active snapshot with its activation time and source.
+func (h *Holder) Active() Active {
 	if active := h.current.Load(); active != nil {
 		return *active
 	}
 
-	return Held{}
+	return Active{}
 }
 
 // Number returns the active version number, or 0.
@@ -95,7 +95,7 @@
 
 	h.checkInvariants(s)
 	h.recordHistory(active, v)
-	h.current.Store(&Held{Snapshot: s, Since: time.Now(), Source: source})
+	h.current.Store(&Active{Snapshot: s, Since: time.Now(), Source: source})
 	h.recorder.Record(event.VersionInForce, timeline.Entry{Version: v.Number, Peer: source})
 	close(h.changed)
 	h.changed = make(chan struct{})
