--- a/internal/timeline/clock.go
+++ b/internal/timeline/clock.go
@@ -12,7 +12,7 @@
 	Logical uint32 `json:"Logical" msgpack:"Logical"`
 }
 
-// Compare orders stamps.
+// Compare orders stamps by wall time, then by the logical part.
 func (s Stamp) Compare(o Stamp) int {
 	if c := cmp.Compare(s.WallMs, o.WallMs); c != 0 {
 		return c
@@ -21,15 +21,15 @@
 	return cmp.Compare(s.Logical, o.Logical)
 }
 
-// Clock is a hybrid logical clock: a stamp taken after a message arrived is
-// higher than the stamp that the message carried, however the hosts' clocks
-// differ, so that causes come before effects on the merged time line.
+// Clock is a hybrid logical clock: a stamp taken after a message was received is
+// higher than the stamp in the message, however much the clocks of the hosts differ.
+// On the merged time line causes therefore come before effects.
 type Clock struct {
 	mu   sync.Mutex
 	last Stamp
 }
 
-// Now returns a stamp higher than all before.
+// Now returns a stamp higher than all earlier ones.
 func (c *Clock) Now() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,7 +39,7 @@
 	return c.last
 }
 
-// Observe takes the stamp of a received message into account.
+// Observe raises the clock to the stamp of a received message.
 func (c *Clock) Observe(remote Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/timeline/collapse.go
+++ b/internal/timeline/collapse.go
@@ -5,65 +5,65 @@
 	"time"
 )
 
-// Collapse joins entries that say the same of the same node or version on many
-// nodes at about the same time into the first of them. When one node dies, every
-// other one tells so; at thousands of nodes nothing else could be seen.
+// Collapse merges entries that report the same event about the same node or version on
+// several nodes into the first of them. When a node fails, every other node records
+// it; in a fleet of thousands these entries would hide all others.
 func Collapse(entries []Entry) []Entry {
 	var out []Entry
 
-	groups := map[subject]int{}
-	others := map[int]*spread{}
+	groups := map[groupKey]int{}
+	merged := map[int]*duplicates{}
 
 	for _, e := range entries {
-		s := subject{number: e.Number, peer: e.Peer, version: e.Version}
+		s := groupKey{number: e.Number, peer: e.Peer, version: e.Version}
 
-		if at, ok := groups[s]; ok && joins(out[at], e) {
-			others[at].add(e)
+		if at, ok := groups[s]; ok && sameOccurrence(out[at], e) {
+			merged[at].add(e)
 
 			continue
 		}
 
 		groups[s] = len(out)
-		others[len(out)] = &spread{}
+		merged[len(out)] = &duplicates{}
 		out = append(out, e)
 	}
 
-	for at, o := range others {
+	for at, o := range merged {
 		out[at].Detail += o.text(out[at])
 	}
 
 	return out
 }
 
-// subject is what entries must have in common.
-type subject struct {
+// groupKey holds the fields that merged entries have in common.
+type groupKey struct {
 	number  int
 	peer    string
 	version uint64
 }
 
-// apart is how far entries of one happening lie apart at the most.
-const apart = 10 * time.Second
+// collapseWindow is the maximum time between the first and the last merged entry.
+const collapseWindow = 10 * time.Second
 
-func joins(first, e Entry) bool {
+func sameOccurrence(first, e Entry) bool {
 	if e.Call != "" || e.Key != "" || (e.Peer == "" && e.Version == 0) || e.Node == first.Node {
 		return false
 	}
 
-	return time.Duration(e.Stamp.WallMs-first.Stamp.WallMs)*time.Millisecond < apart
+	return time.Duration(e.Stamp.WallMs-first.Stamp.WallMs)*time.Millisecond < collapseWindow
 }
 
-type spread struct {
+type duplicates struct {
 	count int
 	last  Stamp
 }
 
-func (s *spread) add(e Entry) {
+func (s *duplicates) add(e Entry) {
 	s.count++
 	s.last = e.Stamp
 }
 
-func (s *spread) text(first Entry) string {
+func (s *duplicates) text(first Entry) string {
 	if s.count == 0 {
 		return ""
 	}
--- a/internal/timeline/describe.go
+++ b/internal/timeline/describe.go
@@ -2,9 +2,9 @@
 
 import "strconv"
 
-// AppendNumber appends a name and its value to the detail of an entry. Entries of calls
-// are made for each call, also where nobody reads them: a buffer that is appended to costs
-// one allocation, fmt a dozen.
+// AppendNumber appends a name and its value to the detail of an entry. Every call
+// makes such entries, even if they are never read: appending to a buffer costs one
+// allocation, and fmt about a dozen.
 func AppendNumber(b []byte, name string, value int64) []byte {
 	return strconv.AppendInt(append(b, name...), value, 10)
 }
--- a/internal/timeline/options.go
+++ b/internal/timeline/options.go
@@ -2,8 +2,8 @@
 
 import "log/slog"
 
-// DefaultSize bounds the kept entries of each of the two rings: at some 200 bytes
-// each about 800 KB.
+// DefaultSize is the number of entries in each of the two rings, which take about 800
+// KB each at some 200 bytes an entry.
 const DefaultSize = 4096
 
 // Options of a recorder.
@@ -25,11 +25,11 @@
 	return o
 }
 
-// Node names the node whose events are recorded.
+// Node sets the ID of the node whose events are recorded.
 func Node(id string) Option { return func(o *Options) { o.Node = id } }
 
-// Size bounds the number of kept entries in each of the two rings.
+// Size sets the maximum number of entries in each of the two rings.
 func Size(n int) Option { return func(o *Options) { o.Size = n } }
 
-// Logger sets where events are logged.
+// Logger sets the logger for the events.
 func Logger(l *slog.Logger) Option { return func(o *Options) { o.Logger = l } }
--- a/internal/timeline/page/page.go
+++ b/internal/timeline/page/page.go
@@ -1,12 +1,12 @@
-// Package page draws a time line as one HTML page without outside resources: a
-// lane for each node, with the version in force, the times in which it was down
-// or left, and a mark for each event.
+// Package page renders a time line as one HTML page without external resources: a lane
+// for each node, with the active version, the times in which the node was down or
+// draining, and a mark for each event.
 //
 //	err := page.Write(w, "since 10:00", entries)
 package page
 
 import (
-	_ "embed" // the template
+	_ "embed" // for the template
 	"html/template"
 	"io"
 	"slices"
@@ -27,25 +27,25 @@
 	labelWidth = 190
 	plotWidth  = 1100
 	ticks      = 8
-	spread     = 4 // how far marks of one kind lie from the middle of a lane
+	markOffset = 4 // vertical distance between the marks of two kinds
 )
 
-// Kind groups events by what they are about.
+// kind is a group of events with their color and vertical offset in a lane.
 type kind struct {
-	Name  string
-	Color string
-	low   int
-	dy    int
+	Name   string
+	Color  string
+	first  int
+	offset int
 }
 
-// The kinds by the hundreds of their numbers.
+// kinds returns the groups in ascending order of their first event number.
 func kinds() []kind {
 	return []kind{
 		{"node", "#333333", 100, 0},
-		{"settings", "#1f6fb4", 200, -spread},
-		{"fleet", "#b45f06", 300, spread},
-		{"calls", "#38761d", 400, -2 * spread},
-		{"keys", "#741b47", 500, 2 * spread},
+		{"settings", "#1f6fb4", 200, -markOffset},
+		{"fleet", "#b45f06", 300, markOffset},
+		{"calls", "#38761d", 400, -2 * markOffset},
+		{"keys", "#741b47", 500, 2 * markOffset},
 		{"broken promise", "#cc0000", 900, 0},
 	}
 }
@@ -54,7 +54,7 @@
 	all := kinds()
 
 	for i := len(all) - 1; i > 0; i-- {
-		if number >= all[i].low {
+		if number >= all[i].first {
 			return all[i]
 		}
 	}
@@ -103,7 +103,7 @@
 	Meanings      map[string]string
 }
 
-// Write draws the entries, which are in the order of time.
+// Write renders the entries, which must be sorted by time.
 func Write(w io.Writer, title string, entries []timeline.Entry) error {
 	t, err := template.New("page").Parse(source)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return t.Execute(w, newView(title, entries))
 }
 
-// drawing places entries.
+// drawing maps times and nodes to coordinates.
 type drawing struct {
 	from, to int64
 	lanes    map[string]float64
@@ -127,7 +127,7 @@
 		d.from, d.to = entries[0].Stamp.WallMs, entries[len(entries)-1].Stamp.WallMs
 	}
 
-	for i, node := range nodes(entries) {
+	for i, node := range laneNodes(entries) {
 		y := float64(laneTop + laneHeight*i + laneHeight/2)
 		d.lanes[node] = y
 		v.Lanes = append(v.Lanes, lane{node, y})
@@ -154,24 +154,27 @@
 	return v
 }
 
-// Events of the fleet, 3xx, are the ones whose peer is the ID of a node; of other
-// events it can be an address or the platform.
+// Range of the fleet event numbers. Only for fleet events is the peer a node ID; for
+// other events it can be an address or the platform.
 const (
-	firstOfFleet = 300
-	lastOfFleet  = 399
+	firstFleetEvent = 300
+	lastFleetEvent  = 399
 )
 
-func ofFleet(e timeline.Entry) bool { return e.Number >= firstOfFleet && e.Number <= lastOfFleet }
+func isFleetEvent(e timeline.Entry) bool {
+	return e.Number >= firstFleetEvent && e.Number <= lastFleetEvent
+}
 
-// nodes returns who has a lane: who tells something, and who is told of.
-func nodes(entries []timeline.Entry) []string {
+// laneNodes returns the nodes that have a lane: those with entries, and those that a
+// fleet event is about.
+func laneNodes(entries []timeline.Entry) []string {
 	seen := map[string]bool{}
 
 	var out []string
 
 	for _, e := range entries {
 		named := []string{e.Node}
-		if ofFleet(e) {
+		if isFleetEvent(e) {
 			named = append(named, e.Peer)
 		}
 
@@ -209,7 +212,7 @@
 	const small, large = 2.2, 4
 
 	k := kindOf(e.Number)
-	m := mark{X: d.x(e.Stamp.WallMs), Y: d.lanes[e.Node] + float64(k.dy), Size: small, Color: k.Color}
+	m := mark{X: d.x(e.Stamp.WallMs), Y: d.lanes[e.Node] + float64(k.offset), Size: small, Color: k.Color}
 	m.Text = clock(e.Stamp.WallMs) + " " + e.Name + " " + Describe(e)
 
 	switch e.Number {
@@ -220,8 +223,8 @@
 	return m
 }
 
-// bars returns what lasts: the version in force on each node, and the times in
-// which a node drained or was taken for dead by anyone.
+// bars returns the periods to draw: the active version of each node, and the times in
+// which a node was draining or considered failed by any node.
 func (d drawing) bars(entries []timeline.Entry) []bar {
 	var out []bar
 
@@ -244,7 +247,7 @@
 		switch e.Number {
 		case event.VersionInForce.Number:
 			d.endVersions(open, &out, e.Node, ms)
-			start(version(e.Version), e.Node, "version "+strconv.FormatUint(e.Version, 10), ms)
+			start(versionClass(e.Version), e.Node, "version "+strconv.FormatUint(e.Version, 10), ms)
 		case event.MemberDead.Number:
 			if _, known := open["down"+e.Peer]; !known {
 				start("down", e.Peer, "taken for dead "+e.Detail, ms)
@@ -272,14 +275,15 @@
 	return out
 }
 
-const versions = "version"
+const versionClassPrefix = "version"
 
-// version gives neighbouring versions different shades.
-func version(number uint64) string { return versions + strconv.FormatUint(number%2, 10) }
+// versionClass returns the CSS class of a version, which alternates so that
+// consecutive versions differ in shade.
+func versionClass(number uint64) string { return versionClassPrefix + strconv.FormatUint(number%2, 10) }
 
 func (d drawing) endVersions(open map[string]bar, out *[]bar, node string, ms int64) {
 	for _, shade := range []uint64{0, 1} {
-		key := version(shade) + node
+		key := versionClass(shade) + node
 		if b, ok := open[key]; ok {
 			b.Width = d.x(ms) - b.X
 			*out = append(*out, b)
@@ -289,7 +293,7 @@
 	}
 }
 
-// Describe returns what an entry says besides its name.
+// Describe returns the fields of an entry other than time, node and event.
 func Describe(e timeline.Entry) string {
 	var out string
 
--- a/internal/timeline/page/page_test.go
+++ b/internal/timeline/page/page_test.go
@@ -19,7 +19,7 @@
 	return entry
 }
 
-func TestPage(t *testing.T) {
+func TestWriteMatchesGoldenPage(t *testing.T) {
 	var b bytes.Buffer
 
 	assert.NilError(t, page.Write(&b, "an outage", []timeline.Entry{
@@ -36,21 +36,21 @@
 	}))
 
 	text := b.String()
-	assert.Assert(t, !strings.Contains(text, "<script>alert"), "what callers send is text")
+	assert.Assert(t, !strings.Contains(text, "<script>alert"), "text from callers must be escaped")
 
 	for _, outside := range []string{"http://", "https://", "src=", "@import"} {
-		assert.Assert(t, !strings.Contains(text, outside), "the page needs nothing from elsewhere: %s", outside)
+		assert.Assert(t, !strings.Contains(text, outside), "the page must not use external resources: %s", outside)
 	}
 
 	golden.Assert(t, text, "page.golden.html")
 }
 
-func TestPageWithoutEvents(t *testing.T) {
+func TestWriteWithoutEntries(t *testing.T) {
 	assert.NilError(t, page.Write(&bytes.Buffer{}, "nothing", nil))
 }
 
-// The peer of a version is where it came from: the platform, or an address. A
-// lane for each of these hides the nodes, and the page counts too many of them.
+// The peer of a version is its source: the platform or an address. Lanes for these
+// would hide the nodes and make the node count wrong.
 func TestOnlyNodesHaveLanes(t *testing.T) {
 	var b bytes.Buffer
 
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline records what one node did, in bounded memory, and merges the
-// records of many nodes into one time line.
+// Package timeline records the events of one node in bounded memory, and merges the
+// records of several nodes into one time line.
 //
 //	r := timeline.New(timeline.Node("nottm-a-1"))
 //	r.Record(event.VersionInForce, timeline.Entry{Version: 7})
@@ -31,35 +31,35 @@
 	Detail  string `json:"Detail,omitempty" msgpack:"Detail,omitempty"`
 }
 
-// Recorder holds the newest entries of one node and logs each.
+// Recorder stores the newest entries of one node and logs each entry.
 //
-// Events of single calls have a ring of their own: at hundreds of calls a second
-// they would push out within seconds what explains an outage, such as who was
-// taken for dead and when a version came in force.
+// Events of single calls have a separate ring: at hundreds of calls a second they
+// would soon evict the entries that explain an outage, such as which node was
+// considered failed and when a version became active.
 type Recorder struct {
 	options Options
 	clock   Clock
 
-	mu    sync.Mutex
-	rare  ring
-	calls ring
-	once  *bounded.Map[struct{}]
+	mu       sync.Mutex
+	other    ring
+	calls    ring
+	recorded *bounded.Map[struct{}]
 }
 
-// The numbers of events of single calls and their keys.
+// Range of the event numbers of single calls and their keys.
 const (
-	firstCall = 400
-	afterKeys = 600
+	firstCallEvent = 400
+	endOfKeyEvents = 600
 )
 
-// ring keeps the newest entries.
+// ring stores the newest entries.
 type ring struct {
 	size    int
 	entries []Entry
 	next    int
 }
 
-func (r *ring) keep(e Entry) {
+func (r *ring) add(e Entry) {
 	if len(r.entries) < r.size {
 		r.entries = append(r.entries, e)
 
@@ -70,12 +70,12 @@
 	r.next = (r.next + 1) % r.size
 }
 
-// take returns the entries that the filter takes, oldest first.
-func (r *ring) take(f Filter) []Entry {
+// matching returns the entries that match the filter, oldest first.
+func (r *ring) matching(f Filter) []Entry {
 	var out []Entry
 
 	for i := range r.entries {
-		if e := r.entries[(r.next+i)%len(r.entries)]; f.Takes(e) {
+		if e := r.entries[(r.next+i)%len(r.entries)]; f.Matches(e) {
 			out = append(out, e)
 		}
 	}
@@ -87,49 +87,49 @@
 func New(opts ...Option) *Recorder {
 	o := newOptions(opts...)
 
-	return &Recorder{options: o, rare: ring{size: o.Size}, calls: ring{size: o.Size}, once: bounded.New[struct{}](maxOnce)}
+	return &Recorder{options: o, other: ring{size: o.Size}, calls: ring{size: o.Size}, recorded: bounded.New[struct{}](maxRecordedOnce)}
 }
 
 // Clock returns the node's clock.
 func (r *Recorder) Clock() *Clock { return &r.clock }
 
-// maxOnce bounds what is remembered of entries that are told once: some hundred
+// maxRecordedOnce limits the remembered entries of Once. It fits several hundred
 // instances and keys with a few reasons each.
-const maxOnce = 4096
+const maxRecordedOnce = 4096
 
-// Once records an entry unless one with the same number and detail was recorded by it
-// before. Who sends what can't be read sends it again, several times a second.
+// Once records an entry unless an entry with the same event and detail was already
+// recorded by Once. A sender of unreadable data retries several times a second.
 func (r *Recorder) Once(e event.Event, entry Entry) {
 	name := e.Name + " " + entry.Detail
 
 	r.mu.Lock()
-	_, told := r.once.Get(name)
-	r.once.At(name)
+	_, known := r.recorded.Get(name)
+	r.recorded.At(name)
 	r.mu.Unlock()
 
-	if !told {
+	if !known {
 		r.Record(e, entry)
 	}
 }
 
-// Record stamps the entry, keeps it and logs it.
+// Record stamps, stores and logs the entry.
 func (r *Recorder) Record(e event.Event, entry Entry) {
 	entry.Stamp = r.clock.Now()
 	entry.Node = r.options.Node
 	entry.Number = e.Number
 	entry.Name = e.Name
-	r.keep(e, entry)
+	r.add(e, entry)
 	r.log(e, entry)
 }
 
-func (r *Recorder) keep(e event.Event, entry Entry) {
+func (r *Recorder) add(e event.Event, entry Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if e.Number >= firstCall && e.Number < afterKeys {
-		r.calls.keep(entry)
+	if e.Number >= firstCallEvent && e.Number < endOfKeyEvents {
+		r.calls.add(entry)
 	} else {
-		r.rare.keep(entry)
+		r.other.add(entry)
 	}
 }
 
@@ -154,53 +154,53 @@
 	r.options.Logger.LogAttrs(context.Background(), e.Level, e.Name, attrs...)
 }
 
-// Entries returns the kept entries that the filter takes, oldest first; with a
-// limit the newest of them, those of single calls first to go.
+// Entries returns the stored entries that match the filter, oldest first. A limit
+// keeps the newest entries, and drops those of single calls first.
 func (r *Recorder) Entries(f Filter) []Entry {
 	r.mu.Lock()
-	rare, calls := r.rare.take(f), r.calls.take(f)
+	other, calls := r.other.matching(f), r.calls.matching(f)
 	r.mu.Unlock()
 
 	if f.Limit > 0 {
-		rare = newest(rare, f.Limit)
-		calls = newest(calls, f.Limit-len(rare))
+		other = newest(other, f.Limit)
+		calls = newest(calls, f.Limit-len(other))
 	}
 
-	return Merge(rare, calls)
+	return Merge(other, calls)
 }
 
 func newest(entries []Entry, count int) []Entry {
 	return entries[max(len(entries)-count, 0):]
 }
 
-// Filter says which entries are wanted; a zero field takes all.
+// Filter selects entries; a zero field matches all.
 type Filter struct {
 	Call    string `json:"Call" msgpack:"Call"`
 	Key     string `json:"Key" msgpack:"Key"`
 	Version uint64 `json:"Version" msgpack:"Version"`
-	// Node takes what the node tells and what others tell of it.
+	// Node matches entries of the node and entries of other nodes about it.
 	Node string `json:"Node" msgpack:"Node"`
 	// Event is the name or the number of an event.
 	Event   string `json:"Event" msgpack:"Event"`
 	SinceMs int64  `json:"SinceMs" msgpack:"SinceMs"`
-	// Limit bounds the entries of each node, the newest ones.
+	// Limit is the maximum number of entries of each node; the newest are kept.
 	Limit int `json:"Limit" msgpack:"Limit"`
 }
 
-// Takes reports whether the entry passes.
-func (f Filter) Takes(e Entry) bool {
-	return wants(f.Call, e.Call) && wants(f.Key, e.Key) &&
-		wants(f.Node, e.Node, e.Peer) && wants(f.Event, e.Name, strconv.Itoa(e.Number)) &&
+// Matches reports whether the filter selects the entry.
+func (f Filter) Matches(e Entry) bool {
+	return matchesField(f.Call, e.Call) && matchesField(f.Key, e.Key) &&
+		matchesField(f.Node, e.Node, e.Peer) && matchesField(f.Event, e.Name, strconv.Itoa(e.Number)) &&
 		(f.Version == 0 || f.Version == e.Version) &&
 		f.SinceMs <= e.Stamp.WallMs
 }
 
-// wants reports whether a field of a filter takes one of the values.
-func wants(field string, values ...string) bool {
+// matchesField reports whether a filter field is empty or equals one of the values.
+func matchesField(field string, values ...string) bool {
 	return field == "" || slices.Contains(values, field)
 }
 
-// Merge orders entries of many nodes by their stamps.
+// Merge sorts the entries of several nodes by their stamps.
 func Merge(lists ...[]Entry) []Entry {
 	out := slices.Concat(lists...)
 	slices.SortStableFunc(out, func(a, b Entry) int {
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -10,9 +10,9 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Hundreds of calls a second are recorded, and once an hour a node is taken for
-// dead. With one ring the operator who comes after the outage finds calls only.
-func TestCallsDoNotPushOutWhatIsRare(t *testing.T) {
+// Hundreds of calls a second are recorded, and a failed node about once an hour. With
+// a single ring the calls would evict the entries that explain an outage.
+func TestCallsDoNotEvictOtherEvents(t *testing.T) {
 	const size = 16
 
 	r := timeline.New(timeline.Node("a"), timeline.Size(size))
@@ -30,7 +30,7 @@
 	assert.Equal(t, r.Entries(timeline.Filter{Limit: 3})[0].Name, event.MemberDead.Name)
 }
 
-func TestFilters(t *testing.T) {
+func TestFilterSelectsEntries(t *testing.T) {
 	r := timeline.New(timeline.Node("a"))
 	r.Record(event.MemberDead, timeline.Entry{Peer: "b"})
 	r.Record(event.VersionInForce, timeline.Entry{Version: 7})
@@ -60,10 +60,9 @@
 	}
 }
 
-// The clocks of two hosts differ by an hour. What a node does after it heard of
-// another's event must come after it on the merged time line, or it shows effects
-// before their causes.
-func TestCausesComeBeforeEffects(t *testing.T) {
+// The clocks of two hosts differ by an hour. An event that follows from an event of
+// another node must come after it on the merged time line.
+func TestMergeOrdersCausesBeforeEffects(t *testing.T) {
 	fast, slow := timeline.New(timeline.Node("fast")), timeline.New(timeline.Node("slow"))
 	fast.Clock().Observe(timeline.Stamp{WallMs: 1 << 50})
 	fast.Record(event.VersionAccepted, timeline.Entry{Version: 7})
@@ -80,8 +79,8 @@
 	return entry
 }
 
-// One node dies in a fleet of thousands and each other one tells so.
-func TestOneHappeningIsOneLine(t *testing.T) {
+// When a node fails, all other nodes record it; Collapse shows one entry.
+func TestCollapseMergesReportsOfOneEvent(t *testing.T) {
 	out := timeline.Collapse([]timeline.Entry{
 		at(1000, "a", event.MemberDead, timeline.Entry{Peer: "x", Detail: "by a"}),
 		at(1100, "b", event.MemberDead, timeline.Entry{Peer: "x"}),
@@ -97,16 +96,16 @@
 	assert.Equal(t, out[4].Stamp.WallMs, int64(90_000))
 }
 
-// The time of day of a host jumps an hour ahead and back. What it tells others in that
-// hour must still come after what caused it and before what it causes, and the stamps of
-// the hour that follows, in which clocks stand, must not run out.
-func TestAHostWhoseTimeJumpsTellsNoFalseOrder(t *testing.T) {
+// The wall clock of a host jumps an hour ahead and back. Its stamps in that hour must
+// still come after their causes and before their effects. In the next hour the wall
+// time of the stamps does not advance, and the logical part must not overflow.
+func TestClockKeepsOrderWhenWallClockJumps(t *testing.T) {
 	const hour = 3_600_000
 
 	var jumped, other timeline.Clock
 
 	before := other.Now()
-	jumped.Observe(timeline.Stamp{WallMs: before.WallMs + hour}) // its own time, for a moment
+	jumped.Observe(timeline.Stamp{WallMs: before.WallMs + hour}) // the host's wall clock before it jumps back
 
 	sent := jumped.Now()
 	other.Observe(sent)
@@ -114,14 +113,14 @@
 	effect := other.Now()
 	assert.Assert(t, before.Compare(sent) < 0 && sent.Compare(effect) < 0)
 
-	const stampsOfAnHour = 2000 * 3600 // a busy node takes two thousand a second
+	const stampsPerHour = 2000 * 3600 // a busy node takes 2000 stamps a second
 
-	for range stampsOfAnHour {
+	for range stampsPerHour {
 		effect = other.Now()
 	}
 
 	assert.Equal(t, effect.WallMs, sent.WallMs)
-	assert.Assert(t, effect.Logical > stampsOfAnHour && effect.Logical < 1<<31)
+	assert.Assert(t, effect.Logical > stampsPerHour && effect.Logical < 1<<31)
 
 	jumped.Observe(effect)
 	assert.Assert(t, jumped.Now().Compare(effect) > 0)
