--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -18,47 +18,47 @@
 )
 
 const (
-	// readBuffer holds the head of a request; most have no body.
+	// readBuffer, in bytes, holds a typical request; most have no body.
 	readBuffer = 4 << 10
-	// maxPipelined bounds the calls of one connection that run at the same time.
+	// maxPipelined bounds the concurrent calls on one connection.
 	maxPipelined = 32
-	// bodyTimeout bounds the time in which a body comes in.
+	// bodyTimeout bounds reading a request body.
 	bodyTimeout = 30 * time.Second
-	// writeTimeout bounds a caller that does not read its answer.
+	// writeTimeout bounds writing an answer to a caller that reads slowly or not at all.
 	writeTimeout = 10 * time.Second
-	// lingerTimeout is how long a connection is read on after its last answer:
-	// closing it with unread bytes resets it, and the answer would be lost.
+	// lingerTimeout is how long a connection is drained after its last answer. Closing a
+	// socket with unread input sends a reset, which can discard the answer.
 	lingerTimeout = time.Second
 )
 
-// conn is one connection of a caller.
+// conn is one connection from a caller.
 type conn struct {
-	server *Server
-	raw    net.Conn
-	limit  *io.LimitedReader
-	in     *bufio.Reader
-	ctx    context.Context //nolint:containedctx // ends with the connection
-	cancel context.CancelCauseFunc
-	queue  chan *exchange // in the order of arrival
-	made   time.Time
-	late   bool // made when the server had settled
-
-	mu      sync.Mutex
-	pending []*exchange // calls that were taken and not answered, in the order of arrival
-	sending bool        // an answer is being written
-	waiting bool        // nothing of the next call has come
-	used    bool        // a call was taken
-	closing bool        // no call is taken behind one without an answer, and the last answer ends the connection
-	ended   bool        // the last answer goes out; what comes after it is not taken
+	server      *Server
+	raw         net.Conn
+	limit       *io.LimitedReader
+	in          *bufio.Reader
+	ctx         context.Context //nolint:containedctx // ends with the connection
+	cancel      context.CancelCauseFunc
+	queue       chan *exchange // in order of arrival
+	connectedAt time.Time
+	excluded    bool // not counted by Busy
+
+	mu           sync.Mutex
+	pending      []*exchange // accepted calls without an answer, in order of arrival
+	writing      bool        // an answer is being written
+	awaitingCall bool        // no byte of the next call has been read
+	hasCalls     bool        // at least one call was accepted
+	closing      bool        // no call is accepted while another is unanswered; the connection closes after the last answer
+	ended        bool        // the last answer is being written or was written; further input is discarded
 }
 
 // exchange is one call and its answer.
 type exchange struct {
-	request  *http.Request
-	response Response
-	taken    time.Time
-	done     chan struct{}
-	ready    time.Time // when the response was there; set before done is closed
+	request    *http.Request
+	response   Response
+	acceptedAt time.Time
+	done       chan struct{}
+	readyAt    time.Time // when the response became available; set before done is closed
 }
 
 func newConn(s *Server, raw net.Conn) *conn {
@@ -67,13 +67,13 @@
 
 	return &conn{
 		server: s, raw: raw, limit: limit, in: bufio.NewReaderSize(limit, readBuffer), ctx: ctx, cancel: cancel,
-		queue: make(chan *exchange, maxPipelined), made: time.Now(),
+		queue: make(chan *exchange, maxPipelined), connectedAt: time.Now(),
 	}
 }
 
-// run reads calls until the caller or this node ends the connection.
+// run serves calls until the caller or this node closes the connection.
 func (c *conn) run() {
-	defer c.server.forget(c)
+	defer c.server.untrack(c)
 
 	written := make(chan struct{})
 
@@ -83,36 +83,36 @@
 		c.write()
 	}()
 
-	c.cancel(causeOf(c.read()))
+	c.cancel(cancelCause(c.read()))
 	close(c.queue)
 	<-written
 
 	_ = c.raw.Close()
 }
 
-// causeOf says why a connection whose reading ended is done with.
-func causeOf(err error) error {
+// cancelCause maps a read error to the cause with which the connection's context is canceled.
+func cancelCause(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) {
-		return ErrCallerLeft
+		return ErrCallerDisconnected
 	}
 
 	return ErrClosed
 }
 
-// read takes calls until the connection ends. It goes on reading while calls run,
-// which is how it sees that the caller went away.
+// read accepts calls until the connection ends. It keeps reading while calls run, so that
+// it detects when the caller disconnects.
 func (c *conn) read() error {
 	for {
-		e, body, err := c.next()
+		e, body, err := c.readCall()
 
 		switch {
-		case errors.Is(err, errEnded), errors.Is(err, os.ErrDeadlineExceeded) && c.finishes():
+		case errors.Is(err, errEnded), errors.Is(err, os.ErrDeadlineExceeded) && c.startClosing():
 			return c.linger()
 		case err != nil:
 			return err
 		}
 
-		ahead, ok := c.take(e, e.request.Close || idle.Closed(e.done))
+		ahead, ok := c.accept(e, e.request.Close || idle.Closed(e.done))
 		if !ok {
 			return c.linger()
 		}
@@ -129,8 +129,8 @@
 	}
 }
 
-// linger reads on without taking calls, until the caller closes or the time after
-// the last answer is over.
+// linger discards input until the caller closes the connection or lingerTimeout after the
+// last answer has passed.
 func (c *conn) linger() error {
 	c.limit.N = DefaultBodyBytes
 
@@ -141,8 +141,9 @@
 	return io.EOF
 }
 
-// finishes takes no more calls and reports whether earlier ones have no answer yet.
-func (c *conn) finishes() bool {
+// startClosing stops accepting calls. It reports whether the connection has to stay open
+// for the answers to earlier calls or for the caller to read the last one.
+func (c *conn) startClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -155,11 +156,11 @@
 	return c.busy() && c.raw.SetReadDeadline(time.Time{}) == nil
 }
 
-// busy reports whether an answer is due or being written. The lock is held.
-func (c *conn) busy() bool { return len(c.pending) > 0 || c.sending }
+// busy reports whether a call is unanswered or an answer is being written. The caller holds mu.
+func (c *conn) busy() bool { return len(c.pending) > 0 || c.writing }
 
 func (c *conn) handle(e *exchange, body []byte, ahead int) {
-	defer e.finish()
+	defer e.complete()
 
 	uri := e.request.RequestURI
 	if !strings.HasPrefix(uri, "/") {
@@ -169,21 +170,21 @@
 	path, _, _ := strings.Cut(uri, "?")
 
 	e.response = c.server.handler.Serve(c.ctx, Request{
-		Method: e.request.Method, Host: e.request.Host, URI: uri, Path: path, Header: e.request.Header, Body: body, Arrived: e.taken,
-		Connected: c.made, Ahead: ahead,
+		Method: e.request.Method, Host: e.request.Host, URI: uri, Path: path, Header: e.request.Header, Body: body, Arrived: e.acceptedAt,
+		Connected: c.connectedAt, Ahead: ahead,
 	})
 }
 
-// finish makes the response the answer.
-func (e *exchange) finish() {
-	e.ready = time.Now()
+// complete marks the response as available.
+func (e *exchange) complete() {
+	e.readyAt = time.Now()
 	close(e.done)
 }
 
-// take counts a call in, unless the last one was taken: a caller takes what it sent behind
-// the last answer for not read, and sends it again. It returns how many calls of the
-// connection have no answer yet.
-func (c *conn) take(e *exchange, last bool) (ahead int, ok bool) {
+// accept registers a call and returns how many earlier calls of the connection are
+// unanswered. It rejects a call that follows the connection's last one, because the caller
+// assumes that such a call was not read and sends it again.
+func (c *conn) accept(e *exchange, last bool) (ahead int, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -192,34 +193,35 @@
 	}
 
 	c.closing = c.closing || last
-	c.used = true
+	c.hasCalls = true
 
-	e.taken = time.Now()
+	e.acceptedAt = time.Now()
 	c.pending = append(c.pending, e)
 
 	return len(c.pending) - 1, true
 }
 
-// answered counts a call out whose answer is to be written, and reports whether that is the
-// last.
-func (c *conn) answered() bool {
+// beginAnswer removes the first pending call, whose answer is written next, and reports
+// whether that answer is the connection's last.
+func (c *conn) beginAnswer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	c.pending = slices.Delete(c.pending, 0, 1)
-	c.sending = true
+	c.writing = true
 	c.ended = c.closing && len(c.pending) == 0
 
 	return c.ended
 }
 
-// written notes that an answer has gone out. It reports whether the connection was retired
-// meanwhile and has to end though the answer did not say so.
-func (c *conn) written() bool {
+// endAnswer records that an answer was written. It reports whether the connection has to
+// close although the answer had no "Connection: close", because it was retired during the
+// write.
+func (c *conn) endAnswer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.sending = false
+	c.writing = false
 
 	if c.ended || !c.closing || len(c.pending) > 0 {
 		return false
@@ -230,22 +232,22 @@
 	return true
 }
 
-func (c *conn) idle() bool {
+func (c *conn) allAnswered() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	return len(c.pending) == 0
 }
 
-// retire ends the connection with the answers to the calls that were taken, or at
-// once if there are none. A caller that has just connected still has its first call taken.
+// retire closes the connection after the answers to its accepted calls, or immediately if
+// there are none. On a connection that has had no call yet, one call is still accepted.
 func (c *conn) retire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	c.closing = true
 
-	if c.used && c.waiting && !c.busy() {
-		_ = c.raw.SetReadDeadline(time.Now()) // a closed connection needs no waking
+	if c.hasCalls && c.awaitingCall && !c.busy() {
+		_ = c.raw.SetReadDeadline(time.Now()) // fails only on a closed connection, where no read is blocked
 	}
 }
--- a/internal/ingress/memory_test.go
+++ b/internal/ingress/memory_test.go
@@ -12,15 +12,15 @@
 	"github.com/pollencart/pollencart/internal/ingress"
 )
 
-// An idle connection must not hold its last answer in memory.
-func TestAnIdleConnectionHoldsNoAnswer(t *testing.T) {
+// An idle connection must not keep its last answer in memory.
+func TestIdleConnectionDoesNotRetainItsLastAnswer(t *testing.T) {
 	const size = 64 << 20
 
 	_, c, in := serve(t, func(context.Context, ingress.Request) ingress.Response {
 		return ingress.Response{Status: http.StatusOK, Body: make([]byte, size)}
 	})
 
-	get(t, c, "/")
+	sendGet(t, c, "/")
 	r, err := http.ReadResponse(in, nil)
 	assert.NilError(t, err)
 
@@ -39,5 +39,5 @@
 
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	assert.Check(t, m.HeapAlloc < size/2, "%d MB in use beside an idle connection", m.HeapAlloc>>20)
+	assert.Check(t, m.HeapAlloc < size/2, "%d MB in use with one idle connection", m.HeapAlloc>>20)
 }
--- a/internal/ingress/observer.go
+++ b/internal/ingress/observer.go
@@ -10,54 +10,56 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Reasons for which the work on a connection's calls ends.
+// Causes with which the contexts of a connection's calls are canceled.
 var (
-	ErrCallerLeft = errs.New("ingress.caller_left", http.StatusBadRequest, "the caller closed the connection")
-	ErrNotRead    = errs.New("ingress.not_read", http.StatusRequestTimeout, "the caller does not read its answers")
-	ErrClosed     = errs.New("ingress.closed", http.StatusServiceUnavailable, "this node closed the connection")
+	ErrCallerDisconnected = errs.New("ingress.caller_left", http.StatusBadRequest, "the caller closed the connection")
+	ErrNotRead            = errs.New("ingress.not_read", http.StatusRequestTimeout, "the caller does not read its answers")
+	ErrClosed             = errs.New("ingress.closed", http.StatusServiceUnavailable, "this node closed the connection")
 )
 
-// Delivery is how the answer to a call went out.
+// Delivery describes how the answer to a call was delivered.
 type Delivery struct {
 	Call   string
 	Status int
-	// Took is from the whole request to the answer, Held from there until now, Connected
-	// the age of the connection.
+	// Took is from the receipt of the whole request until the answer was available, Held from
+	// then until now, and Connected is the age of the connection.
 	Took, Held, Connected time.Duration
 	Err                   error
 }
 
-// Observer is told how answers were delivered.
+// Observer is notified of answers that were delayed or not delivered.
 type Observer interface {
-	// Held is told of an answer that waited behind those to earlier calls.
+	// Held reports an answer that waited behind the answers to earlier calls.
 	Held(d Delivery)
-	// Undelivered is told of an answer that its caller did not get and waited for.
+	// Undelivered reports an answer that was not delivered to a caller that waited for it.
 	Undelivered(d Delivery)
 }
 
-type unobserved struct{}
+type noopObserver struct{}
 
-func (unobserved) Held(Delivery)        {}
-func (unobserved) Undelivered(Delivery) {}
+func (noopObserver) Held(Delivery)        {}
+func (noopObserver) Undelivered(Delivery) {}
 
-// Pending is a connection on which a caller waits for answers, or has just had its last.
+// Pending is a connection with unanswered calls, or one that was not closed yet after its
+// last answer.
 type Pending struct {
-	// Age of the connection, and how long ago its first call without an answer was taken.
+	// Age is that of the connection, Oldest that of its first unanswered call.
 	Age, Oldest time.Duration
-	// Calls without an answer, and how many of them only wait for earlier ones.
+	// Calls counts the unanswered calls, Ready those of them whose response only waits for
+	// earlier ones.
 	Calls, Ready int
-	// Late says that the connection was made after Settle.
+	// Late is set if the connection was accepted after Busy stopped counting new ones.
 	Late bool
-	// Sending says that an answer is being written, Ended that the last one was and the
-	// caller has not closed yet.
+	// Sending is set while an answer is being written, Ended from the start of the last answer
+	// until the connection is closed.
 	Sending, Ended bool
 }
 
-// String describes it for the log.
+// String describes the connection for logs.
 func (p Pending) String() string {
-	const usual = 48
+	const usualLen = 48
 
-	b := make([]byte, 0, usual)
+	b := make([]byte, 0, usualLen)
 	b = append(b, "age "...)
 	b = append(b, p.Age.Round(time.Millisecond).String()...)
 
@@ -77,7 +79,7 @@
 	return string(strconv.AppendInt(b, int64(p.Ready), 10))
 }
 
-// Pending returns the connections that a stop has to wait for, the oldest first.
+// Pending returns the connections that a graceful shutdown has to wait for, oldest first.
 func (s *Server) Pending() []Pending {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +87,7 @@
 	var out []Pending
 
 	for c := range s.conns {
-		if p, ok := c.pendingNow(time.Now()); ok {
+		if p, ok := c.pendingAt(time.Now()); ok {
 			out = append(out, p)
 		}
 	}
@@ -95,17 +97,17 @@
 	return out
 }
 
-func (c *conn) pendingNow(now time.Time) (Pending, bool) {
+func (c *conn) pendingAt(now time.Time) (Pending, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	p := Pending{Age: now.Sub(c.made), Calls: len(c.pending), Sending: c.sending, Ended: c.ended, Late: c.late}
+	p := Pending{Age: now.Sub(c.connectedAt), Calls: len(c.pending), Sending: c.writing, Ended: c.ended, Late: c.excluded}
 
 	if len(c.pending) == 0 {
-		return p, c.ended || c.sending
+		return p, c.ended || c.writing
 	}
 
-	p.Oldest = now.Sub(c.pending[0].taken)
+	p.Oldest = now.Sub(c.pending[0].acceptedAt)
 
 	for _, e := range c.pending {
 		if idle.Closed(e.done) {
--- a/internal/ingress/options.go
+++ b/internal/ingress/options.go
@@ -8,34 +8,34 @@
 
 // Defaults of the options.
 const (
-	// DefaultMaxConns is below the descriptors that a process has, with room for
+	// DefaultMaxConns is below the file descriptor limit of a process and leaves room for
 	// the connections to other nodes and to the backend server.
 	DefaultMaxConns = 3000
-	// DefaultHeaderTimeout, DefaultHeaderBytes and DefaultBodyBytes hold until a
-	// version is in force.
+	// DefaultHeaderTimeout, DefaultHeaderBytes and DefaultBodyBytes apply until a
+	// configuration version is active.
 	DefaultHeaderTimeout = 5 * time.Second
 	DefaultHeaderBytes   = 16 << 10
 	DefaultBodyBytes     = 64 << 20
-	// DefaultIdleTimeout is longer than any caller keeps an unused connection; one
-	// that is closed while its caller sends costs the caller a repeat.
+	// DefaultIdleTimeout is longer than any caller keeps an unused connection, since a
+	// caller has to retry a call that it sends while the server closes the connection.
 	DefaultIdleTimeout = 2 * time.Minute
-	// idleSpare lengthens the configured idle time, which callers use up to four
-	// fifths of, so that a change of it does not meet a caller half way.
-	idleSpare = 2
+	// idleTimeoutFactor multiplies the configured idle timeout. Callers use up to four fifths of
+	// that timeout and may still apply an older value after a change.
+	idleTimeoutFactor = 2
 )
 
-// Options of a server.
+// Options configure a server.
 type Options struct {
 	MaxConns int
 	Limits   func() route.Limits
 	Observer Observer
 }
 
-// Option sets an option.
+// Option changes the options.
 type Option func(*Options)
 
 func newOptions(opts ...Option) Options {
-	o := Options{MaxConns: DefaultMaxConns, Limits: DefaultLimits, Observer: unobserved{}}
+	o := Options{MaxConns: DefaultMaxConns, Limits: DefaultLimits, Observer: noopObserver{}}
 	for _, opt := range opts {
 		opt(&o)
 	}
@@ -43,7 +43,7 @@
 	return o
 }
 
-// DefaultLimits hold until a version is in force.
+// DefaultLimits returns the limits that apply until a configuration version is active.
 func DefaultLimits() route.Limits {
 	return route.Limits{
 		HeaderBytes: DefaultHeaderBytes, BodyBytes: DefaultBodyBytes,
@@ -51,7 +51,7 @@
 	}
 }
 
-// Limits sets where the limits towards callers are.
+// Limits takes the limits for callers from the active configuration version in the holder.
 func Limits(h *route.Holder) Option {
 	return func(o *Options) {
 		o.Limits = func() route.Limits {
@@ -64,8 +64,8 @@
 	}
 }
 
-// MaxConns bounds the connections.
+// MaxConns bounds the open connections; further ones are closed at once.
 func MaxConns(n int) Option { return func(o *Options) { o.MaxConns = n } }
 
-// WithObserver sets who is told how answers were delivered.
+// WithObserver sets the observer of delayed and undelivered answers.
 func WithObserver(to Observer) Option { return func(o *Options) { o.Observer = to } }
--- a/internal/ingress/read.go
+++ b/internal/ingress/read.go
@@ -11,8 +11,8 @@
 	"github.com/pollencart/pollencart/internal/route"
 )
 
-// next reads one call. The answer to one that is over a limit is there at once.
-func (c *conn) next() (*exchange, []byte, error) {
+// readCall reads one call. A call over a limit is returned already rejected.
+func (c *conn) readCall() (*exchange, []byte, error) {
 	limits := c.server.options.Limits()
 	c.limit.N = int64(limits.HeaderBytes) + readBuffer
 
@@ -20,13 +20,13 @@
 		return nil, nil, err
 	}
 
-	if err := c.readUntil(time.Now().Add(limits.HeaderTimeout)); err != nil {
+	if err := c.setReadDeadline(time.Now().Add(limits.HeaderTimeout)); err != nil {
 		return nil, nil, err
 	}
 
 	request, err := http.ReadRequest(c.in)
 	if err != nil {
-		e, err := c.badHead(err)
+		e, err := c.rejectHead(err)
 
 		return e, nil, err
 	}
@@ -37,13 +37,13 @@
 	return e, body, err
 }
 
-// awaitFirstByte waits between calls. Retire ends the wait.
+// awaitFirstByte waits for the next call to begin. Retire ends the wait.
 func (c *conn) awaitFirstByte(limits route.Limits) error {
 	if c.in.Buffered() > 0 {
 		return nil
 	}
 
-	if err := c.await(time.Now().Add(idleSpare * limits.IdleTimeout)); err != nil {
+	if err := c.startAwaiting(time.Now().Add(idleTimeoutFactor * limits.IdleTimeout)); err != nil {
 		return err
 	}
 
@@ -52,7 +52,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.waiting = false
+	c.awaitingCall = false
 
 	if err != nil && c.ended {
 		return errEnded
@@ -61,8 +61,9 @@
 	return err
 }
 
-// readUntil bounds what is read next, unless the last answer has: its bound is to stay.
-func (c *conn) readUntil(t time.Time) error {
+// setReadDeadline sets the read deadline, unless the last answer has already set the one
+// for lingering.
+func (c *conn) setReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -73,87 +74,90 @@
 	return c.raw.SetReadDeadline(t)
 }
 
-// errEnded means that the last answer has gone out.
-var errEnded = errors.New("connection has had its last answer")
+// errEnded means that the connection's last answer was begun.
+var errEnded = errors.New("connection has no further answers")
 
-// await notes that nothing of the next call has come, unless none is wanted.
-func (c *conn) await(until time.Time) error {
+// startAwaiting marks the connection as idle between calls and sets the read deadline. It
+// fails if the connection accepts no further calls.
+func (c *conn) startAwaiting(until time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
 	switch {
 	case c.ended:
 		return errEnded
-	case c.closing && c.used && !c.busy():
+	case c.closing && c.hasCalls && !c.busy():
 		return net.ErrClosed
 	}
 
-	c.waiting = true
+	c.awaitingCall = true
 
 	return c.raw.SetReadDeadline(until)
 }
 
-// badHead answers a head that is too large or is not HTTP, and ends the
-// connection; one that did not come in time just ends.
-func (c *conn) badHead(err error) (*exchange, error) {
+// rejectHead returns a rejected call for a request head that is too large or is not valid
+// HTTP. If the head was not received in time, it returns the error and no call.
+func (c *conn) rejectHead(err error) (*exchange, error) {
 	switch {
 	case c.limit.N <= 0:
-		return refusal(http.StatusRequestHeaderFieldsTooLarge), nil
+		return rejectedExchange(http.StatusRequestHeaderFieldsTooLarge), nil
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return nil, err
 	}
 
-	if broken := c.broken(); broken != nil {
-		return nil, broken
+	if connErr := c.connErr(); connErr != nil {
+		return nil, connErr
 	}
 
-	return refusal(http.StatusBadRequest), nil
+	return rejectedExchange(http.StatusBadRequest), nil
 }
 
-// broken says why the connection can't be read any more, if so. The reader of requests
-// tells a part of a line that came in time from one that did not only by its text.
-func (c *conn) broken() error {
-	var fault net.Error
+// connErr returns the network error, if any, that stops reading from the connection.
+// http.ReadRequest reports a line cut off by the read deadline and a malformed line with
+// errors that differ only in their text.
+func (c *conn) connErr() error {
+	var netErr net.Error
 
-	if _, err := c.in.Peek(1); errors.As(err, &fault) {
+	if _, err := c.in.Peek(1); errors.As(err, &netErr) {
 		return err
 	}
 
 	return nil
 }
 
-// refusal is an exchange whose answer is known; its connection ends with it.
-func refusal(status int) *exchange {
+// rejectedExchange returns an exchange that is already answered with the status. Its
+// connection closes after that answer.
+func rejectedExchange(status int) *exchange {
 	e := &exchange{request: &http.Request{Method: http.MethodGet}, done: make(chan struct{})}
-	e.refuse(status)
+	e.reject(status)
 
 	return e
 }
 
-func (e *exchange) refuse(status int) {
+func (e *exchange) reject(status int) {
 	e.request.Close = true
 	e.response.Status = status
-	e.finish()
+	e.complete()
 }
 
 func (c *conn) readBody(e *exchange, limits route.Limits) ([]byte, error) {
 	if e.request.ContentLength > int64(limits.BodyBytes) {
-		e.refuse(http.StatusRequestEntityTooLarge)
+		e.reject(http.StatusRequestEntityTooLarge)
 
 		return nil, nil
 	}
 
 	if e.request.ContentLength == 0 {
-		return nil, c.readUntil(time.Time{})
+		return nil, c.setReadDeadline(time.Time{})
 	}
 
 	c.limit.N = int64(limits.BodyBytes) + readBuffer
 
-	if err := c.readUntil(time.Now().Add(bodyTimeout)); err != nil {
+	if err := c.setReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
 		return nil, err
 	}
 
-	if err := c.invite(e); err != nil {
+	if err := c.sendContinue(e); err != nil {
 		return nil, err
 	}
 
@@ -163,15 +167,15 @@
 	}
 
 	if len(body) > limits.BodyBytes {
-		e.refuse(http.StatusRequestEntityTooLarge)
+		e.reject(http.StatusRequestEntityTooLarge)
 	}
 
-	return body, c.readUntil(time.Time{})
+	return body, c.setReadDeadline(time.Time{})
 }
 
-// invite tells a caller that waits for it to send the body.
-func (c *conn) invite(e *exchange) error {
-	if !strings.EqualFold(e.request.Header.Get("Expect"), "100-continue") || !c.idle() {
+// sendContinue sends 100 Continue if the caller expects it and no earlier answer is due.
+func (c *conn) sendContinue(e *exchange) error {
+	if !strings.EqualFold(e.request.Header.Get("Expect"), "100-continue") || !c.allAnswered() {
 		return nil
 	}
 
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -1,17 +1,15 @@
-// Package ingress takes calls of callers over HTTP/1.1.
+// Package ingress serves calls from callers over HTTP/1.1.
 //
-// It reads with net/http's own reader, but keeps the connections itself, for two
-// things that the library's server does not do. It serves calls that a caller sent
-// before the first one was answered at the same time, and gives the answers back
-// in their order. And it goes on reading while calls run, so that a caller that
-// goes away is noticed at once, also when it has sent its next call already: the
-// work done for it could serve somebody else.
+// It parses requests with net/http but manages the connections itself, because
+// http.Server lacks two features. Pipelined calls run concurrently, and their answers are
+// written in order. And the server keeps reading while calls run, so that it detects when
+// a caller disconnects, even after the caller has sent its next call, and cancels the work.
 //
 // # Usage
 //
 //	s := ingress.New(handler, ingress.Limits(holder))
 //	go s.Serve(listener)
-//	s.Retire()        // answers tell callers to go elsewhere
+//	s.Retire()        // answers carry "Connection: close"
 //	s.Close()
 package ingress
 
@@ -25,7 +23,7 @@
 	"github.com/pollencart/pollencart/internal/call"
 )
 
-// Request is one call of a caller.
+// Request is one call from a caller.
 type Request struct {
 	Method string
 	Host   string
@@ -34,15 +32,15 @@
 	Header http.Header
 	Body   []byte
 	// Arrived is when the whole request had been read, Connected when its connection was
-	// made.
+	// accepted.
 	Arrived, Connected time.Time
-	// Ahead is how many earlier calls of the connection had no answer then.
+	// Ahead is how many earlier calls of the connection were unanswered at Arrived.
 	Ahead int
 }
 
 // Response is the final answer to a call.
 type Response struct {
-	// Call is the call's ID, for the log.
+	// Call is the call's ID, for logs.
 	Call   string
 	Status int
 	Header []call.Field
@@ -54,23 +52,23 @@
 	Serve(ctx context.Context, r Request) Response
 }
 
-// Server takes calls.
+// Server accepts connections from callers and serves their calls.
 type Server struct {
 	handler Handler
 	options Options
 
-	mu       sync.Mutex
-	conns    map[*conn]struct{}
-	retiring bool
-	settling bool
+	mu         sync.Mutex
+	conns      map[*conn]struct{}
+	retiring   bool
+	excludeNew bool
 }
 
-// New returns a server that does not listen.
+// New returns a server without connections.
 func New(h Handler, opts ...Option) *Server {
 	return &Server{handler: h, options: newOptions(opts...), conns: map[*conn]struct{}{}}
 }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
 	for {
 		raw, err := l.Accept()
@@ -98,7 +96,7 @@
 	}
 
 	s.conns[c] = struct{}{}
-	c.late = s.settling
+	c.excluded = s.excludeNew
 
 	if s.retiring {
 		c.retire()
@@ -107,14 +105,14 @@
 	return true
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) untrack(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	delete(s.conns, c)
 }
 
-// Retire closes idle connections, and the others with their last answer.
+// Retire closes idle connections, and the others after their last answer.
 func (s *Server) Retire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,15 +124,15 @@
 	}
 }
 
-// Settle leaves connections that are made from now on out of Busy.
+// Settle excludes connections that are accepted from now on from Busy.
 func (s *Server) Settle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.settling = true
+	s.excludeNew = true
 }
 
-// Abandon ends the work on the calls that were taken; they are still answered.
+// Abandon cancels the contexts of the accepted calls; they are still answered.
 func (s *Server) Abandon() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,8 +142,8 @@
 	}
 }
 
-// Busy returns how many connections have calls without an answer or one that is being
-// written, or a last answer that went out and whose caller has not closed yet.
+// Busy returns how many connections have unanswered calls, an answer that is being
+// written, or a last answer after which the caller has not closed the connection yet.
 func (s *Server) Busy() int {
 	n := 0
 
@@ -158,7 +156,7 @@
 	return n
 }
 
-// Connections returns how many connections there are.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +164,7 @@
 	return len(s.conns)
 }
 
-// Close ends all connections.
+// Close closes all connections and cancels their calls.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -19,10 +19,11 @@
 	"github.com/pollencart/pollencart/internal/route"
 )
 
-// patience bounds waits for what must come, short is for what must not.
+// waitLimit bounds waits for expected events; shortWait is how long tests look for unexpected
+// ones.
 const (
-	patience = 20 * time.Second
-	short    = 50 * time.Millisecond
+	waitLimit = 20 * time.Second
+	shortWait = 50 * time.Millisecond
 )
 
 type handlerFunc func(ctx context.Context, r ingress.Request) ingress.Response
@@ -46,7 +47,7 @@
 
 	c, err := net.Dial("tcp", l.Addr().String())
 	assert.NilError(t, err)
-	assert.NilError(t, c.SetDeadline(time.Now().Add(patience)))
+	assert.NilError(t, c.SetDeadline(time.Now().Add(waitLimit)))
 	t.Cleanup(func() { _ = c.Close() })
 
 	return s, c, bufio.NewReader(c)
@@ -58,14 +59,14 @@
 	}
 }
 
-func get(t *testing.T, c io.Writer, path string) {
+func sendGet(t *testing.T, c io.Writer, path string) {
 	t.Helper()
 
 	_, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: a\r\n\r\n", path)
 	assert.NilError(t, err)
 }
 
-func answer(t *testing.T, in *bufio.Reader) (*http.Response, string) {
+func readAnswer(t *testing.T, in *bufio.Reader) (*http.Response, string) {
 	t.Helper()
 
 	r, err := http.ReadResponse(in, nil)
@@ -77,23 +78,23 @@
 	return r, string(body)
 }
 
-func TestBodiesByLengthAndInChunks(t *testing.T) {
+func TestReadsBodiesWithContentLengthAndChunked(t *testing.T) {
 	_, c, in := serve(t, echo)
 
 	fmt.Fprint(c, "POST /a?q=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc")
 
-	r, body := answer(t, in)
+	r, body := readAnswer(t, in)
 	assert.Equal(t, body, "/a abc")
 	assert.Equal(t, r.Header.Get("Uri"), "/a?q=1")
 
 	fmt.Fprint(c, "POST /b HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 
-	_, body = answer(t, in)
+	_, body = readAnswer(t, in)
 	assert.Equal(t, body, "/b abcde")
 }
 
-// A caller sends a second call before the first was answered. If the second only
-// began after the first had ended, its caller would wait for both.
+// If a pipelined call started only after the call before it ended, its caller would wait
+// for both.
 func TestPipelinedCallsRunTogetherAndAreAnsweredInOrder(t *testing.T) {
 	second := make(chan struct{})
 	_, c, in := serve(t, func(ctx context.Context, r ingress.Request) ingress.Response {
@@ -106,20 +107,20 @@
 		return echo(ctx, r)
 	})
 
-	get(t, c, "/first")
-	get(t, c, "/second")
+	sendGet(t, c, "/first")
+	sendGet(t, c, "/second")
 
-	_, body := answer(t, in)
+	_, body := readAnswer(t, in)
 	assert.Equal(t, body, "/first ")
 
-	_, body = answer(t, in)
+	_, body = readAnswer(t, in)
 	assert.Equal(t, body, "/second ")
 }
 
-// A caller goes away while its call runs, and had sent the next one already. A
-// server that stops reading once it has the next call's first byte does not see the
-// end, and the backend server works on for nobody.
-func TestACallerThatLeavesIsNoticed(t *testing.T) {
+// A caller disconnects while its call runs, after it has sent the next one. A server that
+// stops reading at the next call's first byte does not detect the close, and the backend
+// server continues work that has no recipient.
+func TestClosingTheConnectionCancelsItsCalls(t *testing.T) {
 	left := make(chan struct{}, 2)
 	began := make(chan struct{}, 2)
 	_, c, _ := serve(t, func(ctx context.Context, _ ingress.Request) ingress.Response {
@@ -132,8 +133,8 @@
 		return ingress.Response{Status: http.StatusOK}
 	})
 
-	get(t, c, "/first")
-	get(t, c, "/second")
+	sendGet(t, c, "/first")
+	sendGet(t, c, "/second")
 	<-began
 	<-began
 	assert.NilError(t, c.Close())
@@ -141,8 +142,8 @@
 	for range 2 {
 		select {
 		case <-left:
-		case <-time.After(patience):
-			t.Fatal("the call still runs")
+		case <-time.After(waitLimit):
+			t.Fatal("call still runs after its caller disconnected")
 		}
 	}
 }
@@ -150,25 +151,25 @@
 func limits(h time.Duration) ingress.Option {
 	return func(o *ingress.Options) {
 		o.Limits = func() route.Limits {
-			return route.Limits{HeaderBytes: 1000, BodyBytes: 10, HeaderTimeout: h, IdleTimeout: patience}
+			return route.Limits{HeaderBytes: 1000, BodyBytes: 10, HeaderTimeout: h, IdleTimeout: waitLimit}
 		}
 	}
 }
 
-// What is over a limit is refused and ends its connection, since the rest of it may
-// still be on its way.
-func TestLimits(t *testing.T) {
+// A request over a limit closes its connection, since the rest of it may still arrive and
+// would be read as the next request.
+func TestRequestOverALimitIsRejectedAndClosesTheConnection(t *testing.T) {
 	for text, status := range map[string]int{
 		"GET / HTTP/1.1\r\nHost: a\r\nLong: " + strings.Repeat("x", 9000) + "\r\n\r\n":                  http.StatusRequestHeaderFieldsTooLarge,
 		"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 11\r\n\r\n01234567890":                           http.StatusRequestEntityTooLarge,
 		"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nb\r\n01234567890\r\n0\r\n\r\n": http.StatusRequestEntityTooLarge,
 		"nonsense\r\n\r\n": http.StatusBadRequest,
 	} {
-		_, c, in := serve(t, echo, limits(patience))
+		_, c, in := serve(t, echo, limits(waitLimit))
 
 		fmt.Fprint(c, text)
 
-		r, _ := answer(t, in)
+		r, _ := readAnswer(t, in)
 		assert.Equal(t, r.StatusCode, status, "%.30q", text)
 		assert.Assert(t, r.Close)
 
@@ -177,9 +178,9 @@
 	}
 }
 
-// A caller sends the head of a request byte by byte and holds a connection for good.
-func TestASlowHeadEndsItsConnection(t *testing.T) {
-	_, c, in := serve(t, echo, limits(short))
+// A caller that sends a request head byte by byte must not occupy a connection indefinitely.
+func TestSlowRequestHeadClosesTheConnection(t *testing.T) {
+	_, c, in := serve(t, echo, limits(shortWait))
 
 	fmt.Fprint(c, "GET / HT")
 
@@ -187,9 +188,9 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// The node stops. A connection that waits for its next call ends; one with calls in
-// flight ends with its last answer, and says so in that one only.
-func TestRetire(t *testing.T) {
+// When the node stops, a connection with calls in flight closes after its last answer, and
+// only that answer carries "Connection: close".
+func TestRetireAnswersCallsInFlightAndClosesTheConnection(t *testing.T) {
 	release := make(chan struct{})
 	began := make(chan struct{}, 2)
 	s, c, in := serve(t, func(ctx context.Context, r ingress.Request) ingress.Response {
@@ -200,53 +201,53 @@
 		return echo(ctx, r)
 	})
 
-	get(t, c, "/first")
-	get(t, c, "/second")
+	sendGet(t, c, "/first")
+	sendGet(t, c, "/second")
 	<-began
 	<-began
 	s.Retire()
 	close(release)
 
-	r, _ := answer(t, in)
+	r, _ := readAnswer(t, in)
 	assert.Assert(t, !r.Close)
 
-	r, body := answer(t, in)
+	r, body := readAnswer(t, in)
 	assert.Assert(t, r.Close)
 	assert.Equal(t, body, "/second ")
 
 	_, err := in.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
 
-	// What comes behind the last answer counts as not read.
-	get(t, c, "/third")
+	// A call behind the last answer must not run, because the caller sends it again.
+	sendGet(t, c, "/third")
 
 	select {
 	case <-began:
-		t.Fatal("a call behind the last answer runs")
-	case <-time.After(short):
+		t.Fatal("call behind the last answer was run")
+	case <-time.After(shortWait):
 	}
 }
 
-func TestRetireEndsIdleConnections(t *testing.T) {
+func TestRetireClosesIdleConnections(t *testing.T) {
 	s, c, in := serve(t, echo)
 
-	get(t, c, "/")
-	answer(t, in)
+	sendGet(t, c, "/")
+	readAnswer(t, in)
 
 	for s.Connections() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 
-	time.Sleep(short)
+	time.Sleep(shortWait)
 	s.Retire()
 
 	_, err := in.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// A caller that gets the answer that ends its connection sends what came behind it
-// again, also what must not run twice. So nothing behind it may have run.
-func TestNothingBehindTheLastAnswerRuns(t *testing.T) {
+// After an answer with "Connection: close", a caller resends the calls that it pipelined
+// behind it, including non-idempotent ones, so none of them may have run.
+func TestCallPipelinedBehindConnectionCloseDoesNotRun(t *testing.T) {
 	var ran []string
 
 	_, c, in := serve(t, func(ctx context.Context, r ingress.Request) ingress.Response {
@@ -257,7 +258,7 @@
 
 	fmt.Fprint(c, "GET /last HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\nGET /behind HTTP/1.1\r\nHost: a\r\n\r\n")
 
-	r, _ := answer(t, in)
+	r, _ := readAnswer(t, in)
 	assert.Assert(t, r.Close)
 
 	_, err := in.ReadByte()
@@ -265,8 +266,8 @@
 	assert.DeepEqual(t, ran, []string{"/last"})
 }
 
-// A caller that keeps a call open at any time must not hold a retired connection open.
-func TestARetiredConnectionTakesNoMoreCalls(t *testing.T) {
+// A caller that always has a call in flight must not keep a retired connection open.
+func TestRetiredConnectionAcceptsNoMoreCalls(t *testing.T) {
 	release := make(chan struct{})
 	began := make(chan string, 3)
 	s, c, in := serve(t, func(ctx context.Context, r ingress.Request) ingress.Response {
@@ -277,20 +278,20 @@
 		return echo(ctx, r)
 	})
 
-	get(t, c, "/taken")
+	sendGet(t, c, "/taken")
 	assert.Equal(t, <-began, "/taken")
 	s.Retire()
-	get(t, c, "/behind")
+	sendGet(t, c, "/behind")
 
 	select {
 	case path := <-began:
-		t.Errorf("%s runs on a retired connection", path)
-	case <-time.After(short):
+		t.Errorf("call to %s runs on a retired connection", path)
+	case <-time.After(shortWait):
 	}
 
 	close(release)
 
-	r, body := answer(t, in)
+	r, body := readAnswer(t, in)
 	assert.Equal(t, body, "/taken ")
 	assert.Assert(t, r.Close)
 
@@ -298,42 +299,42 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// A caller that connects to a node which is being stopped must not be reset.
-func TestACallOnANewConnectionIsAnsweredAfterRetire(t *testing.T) {
+// A caller that connects to a draining node gets an answer, not a connection reset.
+func TestCallOnANewConnectionIsAnsweredAfterRetire(t *testing.T) {
 	s, c, _ := serve(t, echo)
 	s.Retire()
 
 	late, err := net.Dial("tcp", c.RemoteAddr().String())
 	assert.NilError(t, err)
-	assert.NilError(t, late.SetDeadline(time.Now().Add(patience)))
+	assert.NilError(t, late.SetDeadline(time.Now().Add(waitLimit)))
 
 	defer func() { _ = late.Close() }()
 
-	get(t, late, "/late")
+	sendGet(t, late, "/late")
 
-	r, body := answer(t, bufio.NewReader(late))
+	r, body := readAnswer(t, bufio.NewReader(late))
 	assert.Equal(t, body, "/late ")
 	assert.Assert(t, r.Close)
 }
 
-// A stop must not take a connection for done while its answer is still being written.
-func TestAnAnswerThatIsBeingWrittenIsWaitedFor(t *testing.T) {
-	body := bytes.Repeat([]byte("x"), 32<<20) // more than sockets hold
+// A graceful shutdown must not consider a connection done while its answer is being written.
+func TestConnectionIsBusyWhileItsAnswerIsWritten(t *testing.T) {
+	body := bytes.Repeat([]byte("x"), 32<<20) // more than the socket buffers hold
 	s, c, in := serve(t, func(context.Context, ingress.Request) ingress.Response {
 		return ingress.Response{Status: http.StatusOK, Body: body}
 	})
 
-	get(t, c, "/large")
+	sendGet(t, c, "/large")
 
-	_, err := in.Peek(1) // the answer is on its way
+	_, err := in.Peek(1) // the answer has begun to arrive
 	assert.NilError(t, err)
-	time.Sleep(short)
+	time.Sleep(shortWait)
 
 	s.Retire()
-	time.Sleep(short)
+	time.Sleep(shortWait)
 	assert.Equal(t, s.Busy(), 1)
 
-	_, read := answer(t, in)
+	_, read := readAnswer(t, in)
 	assert.Equal(t, len(read), len(body))
 
 	for s.Busy() > 0 {
--- a/internal/ingress/stop_test.go
+++ b/internal/ingress/stop_test.go
@@ -13,8 +13,8 @@
 	"github.com/pollencart/pollencart/internal/ingress"
 )
 
-// A caller whose next call comes in as the last answer goes out must not hold a stop open.
-func TestACallThatCrossesTheLastAnswerHoldsNoConnectionOpen(t *testing.T) {
+// A caller whose next call arrives while the last answer is written must not delay a shutdown.
+func TestCallThatArrivesDuringTheLastAnswerDoesNotKeepTheConnectionBusy(t *testing.T) {
 	release := make(chan struct{})
 	began := make(chan struct{}, 1)
 	s, c, in := serve(t, func(ctx context.Context, r ingress.Request) ingress.Response {
@@ -25,16 +25,16 @@
 		return echo(ctx, r)
 	})
 
-	get(t, c, "/taken")
+	sendGet(t, c, "/taken")
 	<-began
 	s.Retire()
 
 	_, err := fmt.Fprint(c, "GET /crosses HTTP/1.1\r\nHost: a\r\n")
 	assert.NilError(t, err)
-	time.Sleep(short) // its head is being read
+	time.Sleep(shortWait) // the server is reading the request head
 
 	close(release)
-	answer(t, in)
+	readAnswer(t, in)
 
 	_, err = fmt.Fprint(c, "\r\n")
 	assert.NilError(t, err)
@@ -47,7 +47,7 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 
-	t.Errorf("still busy 5 s after the last answer: %v", s.Pending())
+	t.Errorf("connection still busy 5 s after the last answer: %v", s.Pending())
 }
 
 type undelivered chan ingress.Delivery
@@ -56,47 +56,48 @@
 
 func (u undelivered) Undelivered(d ingress.Delivery) { u <- d }
 
-// An answer that this node cuts off must be told.
-func TestAnAnswerThatIsCutOffIsTold(t *testing.T) {
-	told := make(undelivered, 1)
+// An answer that this node truncates by closing the connection is reported to the observer.
+func TestTruncatedAnswerIsReported(t *testing.T) {
+	observed := make(undelivered, 1)
 	s, c, in := serve(t, func(context.Context, ingress.Request) ingress.Response {
 		return ingress.Response{Status: http.StatusOK, Body: make([]byte, 32<<20)}
-	}, ingress.WithObserver(told))
+	}, ingress.WithObserver(observed))
 
-	get(t, c, "/large")
+	sendGet(t, c, "/large")
 
 	_, err := in.ReadByte()
 	assert.NilError(t, err)
 
 	s.Retire()
-	time.Sleep(short)
+	time.Sleep(shortWait)
 	s.Close()
 
 	select {
-	case <-told:
+	case <-observed:
 	case <-time.After(time.Second):
-		t.Error("no line tells of the answer that was cut off")
+		t.Error("truncated answer was not reported")
 	}
 }
 
-// A caller sends its next call while it reads a large answer, and the server is retired.
-func TestACallBehindALargeAnswerDoesNotCutItOff(t *testing.T) {
+// A retired server that closes a socket with unread input resets it, and the caller loses the
+// rest of a large answer that it is still reading.
+func TestCallBehindALargeAnswerDoesNotTruncateIt(t *testing.T) {
 	const size = 32 << 20
 
 	s, c, in := serve(t, func(context.Context, ingress.Request) ingress.Response {
 		return ingress.Response{Status: http.StatusOK, Body: bytes.Repeat([]byte("a"), size)}
 	})
 
-	get(t, c, "/large")
+	sendGet(t, c, "/large")
 
 	r, err := http.ReadResponse(in, nil)
 	assert.NilError(t, err)
 
 	s.Retire()
-	time.Sleep(short)
-	get(t, c, "/next")
+	time.Sleep(shortWait)
+	sendGet(t, c, "/next")
 
-	// Slower than the server writes, so that a part is still in its socket when it closes.
+	// Reads slower than the server writes, so that the server closes the socket with data left to send.
 	n, buf := 0, make([]byte, 256<<10)
 	for err == nil {
 		var k int
@@ -110,23 +111,23 @@
 	assert.Equal(t, n, size, "%v", err)
 }
 
-// A caller whose next call comes in too slowly must still get the answers it waits for.
-func TestACallThatComesInTooSlowlyDoesNotCutOffTheOneBefore(t *testing.T) {
+// When the next call is received too slowly, the calls before it are still answered.
+func TestSlowRequestDoesNotCancelTheCallBeforeIt(t *testing.T) {
 	for _, part := range []string{"GET /half HT", "POST /half HTTP/1.1\r\nHost: a\r\nConte"} {
 		_, c, in := serve(t, func(ctx context.Context, r ingress.Request) ingress.Response {
 			select {
-			case <-time.After(4 * short):
+			case <-time.After(4 * shortWait):
 			case <-ctx.Done():
-				t.Errorf("the call was given up: %v", context.Cause(ctx))
+				t.Errorf("call was canceled: %v", context.Cause(ctx))
 			}
 
 			return echo(ctx, r)
-		}, limits(short))
+		}, limits(shortWait))
 
-		get(t, c, "/taken")
+		sendGet(t, c, "/taken")
 		fmt.Fprint(c, part)
 
-		r, body := answer(t, in)
+		r, body := readAnswer(t, in)
 		assert.Equal(t, body, "/taken ")
 		assert.Assert(t, r.Close)
 	}
--- a/internal/ingress/write.go
+++ b/internal/ingress/write.go
@@ -10,41 +10,41 @@
 	"time"
 )
 
-// heldLong is how long an answer waits behind those to earlier calls of its connection
-// until that is told.
-const heldLong = 100 * time.Millisecond
+// heldThreshold is how long an answer has to wait behind earlier answers of its connection
+// to be reported to Observer.Held.
+const heldThreshold = 100 * time.Millisecond
 
-// write sends the answers in the order of the calls.
+// write writes the answers in the order of the calls.
 func (c *conn) write() {
 	var failed error
 
 	for e := range c.queue {
 		<-e.done
 
-		last := c.answered()
+		last := c.beginAnswer()
 
 		if failed == nil {
 			failed = c.send(e, last)
 		}
 
-		if c.written() && failed == nil {
-			failed = c.finish()
+		if c.endAnswer() && failed == nil {
+			failed = c.closeWrite()
 		}
 
 		switch {
 		case failed != nil:
-			// What the caller still waits for is of no use to it.
+			// Later answers can't be delivered either, so their calls are canceled.
 			c.cancel(ErrNotRead)
 			c.undelivered(e, failed)
-		case time.Since(e.ready) > heldLong:
+		case time.Since(e.readyAt) > heldThreshold:
 			c.server.options.Observer.Held(c.delivery(e, nil))
 		}
 	}
 }
 
-// undelivered tells of an answer that its caller did not get, unless the caller left.
+// undelivered reports an answer that could not be delivered, unless the caller disconnected.
 func (c *conn) undelivered(e *exchange, why error) {
-	if !errors.Is(context.Cause(c.ctx), ErrCallerLeft) {
+	if !errors.Is(context.Cause(c.ctx), ErrCallerDisconnected) {
 		c.server.options.Observer.Undelivered(c.delivery(e, why))
 	}
 }
@@ -54,7 +54,7 @@
 
 	return Delivery{
 		Call: e.response.Call, Status: e.response.Status, Err: err,
-		Took: e.ready.Sub(e.taken), Held: now.Sub(e.ready), Connected: now.Sub(c.made),
+		Took: e.readyAt.Sub(e.acceptedAt), Held: now.Sub(e.readyAt), Connected: now.Sub(c.connectedAt),
 	}
 }
 
@@ -71,11 +71,12 @@
 		return nil
 	}
 
-	return c.finish()
+	return c.closeWrite()
 }
 
-// finish lets the caller read the last answer before the connection ends.
-func (c *conn) finish() error {
+// closeWrite half-closes the connection and bounds the time in which the caller can read the
+// last answer.
+func (c *conn) closeWrite() error {
 	if err := c.raw.SetReadDeadline(time.Now().Add(lingerTimeout)); err != nil {
 		return err
 	}
@@ -89,8 +90,8 @@
 
 var _ interface{ CloseWrite() error } = (*net.TCPConn)(nil)
 
-// encode writes an answer with its length, so that one that is cut short on the
-// way never looks whole.
+// encode returns the answer in HTTP/1.1 form, with its length, so that the caller can
+// detect a truncated answer.
 func (r Response) encode(method string, last bool) []byte {
 	const usualHead = 256
 
