--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -16,31 +16,32 @@
 	"github.com/pollencart/pollencart/internal/header"
 )
 
-// readBuffer holds the head of an answer and most bodies.
+// readBuffer, in bytes, holds the head of an answer and most bodies.
 const readBuffer = 4 << 10
 
-// conn is one connection; it carries one request at a time.
+// conn is one connection to the backend server; it carries one request at a time.
 type conn struct {
-	raw  net.Conn
-	in   *bufio.Reader
-	used time.Time
-	keep time.Duration
+	raw       net.Conn
+	in        *bufio.Reader
+	lastUsed  time.Time
+	idleLimit time.Duration
 }
 
 func newConn(raw net.Conn) *conn {
-	return &conn{raw: raw, in: bufio.NewReaderSize(raw, readBuffer), used: time.Now(), keep: defaultIdle}
+	return &conn{raw: raw, in: bufio.NewReaderSize(raw, readBuffer), lastUsed: time.Now(), idleLimit: defaultIdleLimit}
 }
 
 func (c *conn) close() { _ = c.raw.Close() }
 
-// fresh reports whether a connection that was idle for so long may carry a call.
-func (c *conn) fresh(idle time.Duration, idempotent bool) bool {
-	return idle <= c.keep && (idempotent || idle <= freshIdle)
+// reusableAfter reports whether the connection may carry a call after it was idle for the given
+// time.
+func (c *conn) reusableAfter(idle time.Duration, idempotent bool) bool {
+	return idle <= c.idleLimit && (idempotent || idle <= nonIdempotentIdleLimit)
 }
 
-// quiet reports whether nothing has come on an idle connection. What has come
-// belongs to no request that waits: an answer sent twice, an end, or a reset.
-func (c *conn) quiet() bool {
+// hasNoInput reports whether an idle connection has no unread input. Input there belongs to
+// no pending request: it is a duplicate answer, a close or a reset.
+func (c *conn) hasNoInput() bool {
 	if c.in.Buffered() > 0 {
 		return false
 	}
@@ -55,22 +56,22 @@
 		return false
 	}
 
-	quiet := false
+	hasNoInput := false
 
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 
 		_, err := syscall.Read(int(fd), b[:])
-		quiet = errors.Is(err, syscall.EAGAIN)
+		hasNoInput = errors.Is(err, syscall.EAGAIN)
 
 		return true
 	})
 
-	return err == nil && quiet
+	return err == nil && hasNoInput
 }
 
-// exchange sends the request and reads its answer. Reusable says whether the
-// connection may carry another request.
+// exchange sends the request and reads its answer. It also returns whether the connection
+// is reusable for another request.
 func (c *conn) exchange(ctx context.Context, r Request, names header.Names) (a Answer, reusable bool, err error) {
 	stop := context.AfterFunc(ctx, c.close)
 	defer stop()
@@ -82,20 +83,21 @@
 		_, err := c.raw.Write(append(head, r.Body...))
 		written <- err
 	} else {
-		// A backend server may answer before it has read a long body, and would
-		// wait for its answer to be read before it reads on.
+		// A backend server may answer before it has read a long body, and may block on
+		// writing the answer before it reads the rest.
 		go func() {
 			_, err := (&net.Buffers{head, r.Body}).WriteTo(c.raw)
 			written <- err
 		}()
 	}
 
-	a, reusable, err = c.answer(r, names)
+	a, reusable, err = c.readAnswer(r, names)
 	if err != nil {
 		return a, false, err
 	}
 
-	// The next request's bytes must not land where the rest of a body is due.
+	// While the body is not fully written, the backend server would read the next request as
+	// part of it.
 	select {
 	case werr := <-written:
 		return a, reusable && werr == nil && stop(), nil
@@ -104,12 +106,13 @@
 	}
 }
 
-// answer reads until the answer to the request.
-func (c *conn) answer(r Request, names header.Names) (Answer, bool, error) {
+// readAnswer reads up to the answer to the request. It skips informational responses and
+// answers to other calls.
+func (c *conn) readAnswer(r Request, names header.Names) (Answer, bool, error) {
 	request := &http.Request{Method: r.Method}
 
 	for {
-		response, err := http.ReadResponse(c.in, request) //nolint:bodyclose // read to its end below; the connection is ours
+		response, err := http.ReadResponse(c.in, request) //nolint:bodyclose // read to its end below; the pool owns the connection
 		if err != nil {
 			return Answer{}, false, ErrLost.Wrap(err)
 		}
@@ -132,37 +135,38 @@
 			continue
 		}
 
-		return c.result(response, body, id, names)
+		return c.parseAnswer(response, body, id, names)
 	}
 }
 
-func (c *conn) result(response *http.Response, body []byte, id string, names header.Names) (Answer, bool, error) {
+func (c *conn) parseAnswer(response *http.Response, body []byte, id string, names header.Names) (Answer, bool, error) {
 	signed := response.Header.Get(names.Signature) != ""
 	other := response.StatusCode == http.StatusMisdirectedRequest
 	notRun := other || response.Header.Get(names.NotRun) != ""
 
-	// An answer that does not say to which call it belongs may be a leftover. Only
-	// a refusal of the connection's first request can be nothing else.
+	// An answer without a call ID may be left over from an earlier request. It counts only if
+	// it states that the call was not run: on a connection's first request it can't be a
+	// leftover. A success also needs the backend server's signature.
 	if !notRun && (id == "" || (!signed && response.StatusCode < http.StatusMultipleChoices)) {
 		return Answer{}, false, ErrLost.With("an answer without a call ID or signature, status %d", response.StatusCode)
 	}
 
-	c.learnKeep(response.Header.Get("Keep-Alive"))
+	c.updateIdleLimit(response.Header.Get("Keep-Alive"))
 
 	a := Answer{
 		Status: response.StatusCode, Header: names.Returned(response.Header), Body: body,
 		NotRun: notRun, Other: other,
 	}
 
-	return a, !response.Close && c.in.Buffered() == 0 && response.ContentLength >= 0 || chunked(response), nil
+	return a, !response.Close && c.in.Buffered() == 0 && response.ContentLength >= 0 || isReusableChunked(response), nil
 }
 
-func chunked(response *http.Response) bool {
+func isReusableChunked(response *http.Response) bool {
 	return !response.Close && len(response.TransferEncoding) > 0
 }
 
-// learnKeep takes the idle time that the backend server states.
-func (c *conn) learnKeep(value string) {
+// updateIdleLimit sets the idle limit from the value of a Keep-Alive header.
+func (c *conn) updateIdleLimit(value string) {
 	for part := range strings.SplitSeq(value, ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -170,7 +174,7 @@
 		}
 
 		if seconds, err := strconv.Atoi(text); err == nil && seconds > 0 {
-			c.keep = time.Duration(float64(seconds) * idlePart * float64(time.Second))
+			c.idleLimit = time.Duration(float64(seconds) * idleLimitFactor * float64(time.Second))
 		}
 	}
 }
@@ -195,7 +199,7 @@
 	}
 }
 
-// encode writes the head of a request.
+// encode returns the head of a request, with capacity for its body.
 func encode(ctx context.Context, r Request, names header.Names) []byte {
 	const usualHead = 512
 
@@ -204,22 +208,22 @@
 	b.WriteByte(' ')
 	b.WriteString(r.URI)
 	b.WriteString(" HTTP/1.1\r\n")
-	line(b, "Host", r.Host)
+	writeField(b, "Host", r.Host)
 
 	for _, f := range r.Header {
-		line(b, f.Name, f.Value)
+		writeField(b, f.Name, f.Value)
 	}
 
-	line(b, names.Call, r.ID)
-	line(b, names.Caller, r.Origin)
-	line(b, names.Expected, r.Instance)
+	writeField(b, names.Call, r.ID)
+	writeField(b, names.Caller, r.Origin)
+	writeField(b, names.Expected, r.Instance)
 
 	if deadline, ok := ctx.Deadline(); ok {
-		line(b, names.Deadline, strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
+		writeField(b, names.Deadline, strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
 	}
 
 	if len(r.Body) > 0 || r.Method != http.MethodGet {
-		line(b, "Content-Length", strconv.Itoa(len(r.Body)))
+		writeField(b, "Content-Length", strconv.Itoa(len(r.Body)))
 	}
 
 	b.WriteString("\r\n")
@@ -227,7 +231,7 @@
 	return b.Bytes()
 }
 
-func line(b *bytes.Buffer, name, value string) {
+func writeField(b *bytes.Buffer, name, value string) {
 	if value == "" {
 		return
 	}
--- a/internal/backend/idle_test.go
+++ b/internal/backend/idle_test.go
@@ -7,11 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A backend server closes connections that were idle for the time that it states. A
-// call sent in that moment is reset, and nobody knows whether it ran. So connections
-// are given up well before, and a call that must not run twice takes none that was
-// idle for long.
-func TestIdleConnectionsAreGivenUpInTime(t *testing.T) {
+// A backend server closes connections after its Keep-Alive timeout. A call sent at that
+// moment is reset, and it is unknown whether it ran. So a connection is not reused near the
+// timeout, and non-idempotent calls have a shorter limit.
+func TestIdleConnectionIsNotReusedPastItsIdleLimit(t *testing.T) {
 	for _, c := range []struct {
 		idle       time.Duration
 		idempotent bool
@@ -22,9 +21,9 @@
 		{3 * time.Second, true, true},
 		{8 * time.Second, true, false},
 	} {
-		kept := &conn{keep: defaultIdle}
-		kept.learnKeep("timeout=10, max=100")
-		assert.Equal(t, kept.keep, 7*time.Second)
-		assert.Equal(t, kept.fresh(c.idle, c.idempotent), c.used, "%v", c)
+		idleConn := &conn{idleLimit: defaultIdleLimit}
+		idleConn.updateIdleLimit("timeout=10, max=100")
+		assert.Equal(t, idleConn.idleLimit, 7*time.Second)
+		assert.Equal(t, idleConn.reusableAfter(c.idle, c.idempotent), c.used, "%v", c)
 	}
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,12 +1,10 @@
-// Package backend speaks HTTP with the backend server beside a node, over
-// connections of its own.
+// Package backend is the HTTP client for the backend server on the node's host.
 //
-// A general client pool can't be used: it takes the next bytes of a connection for
-// the answer to the last request. A backend server may send an answer twice, late,
-// or bytes that are no answer at all, and the second copy would be handed to
-// another caller. Here each answer is told by the call ID that it echoes; answers
-// to other calls are read and dropped, and a connection with unexplained bytes is
-// never used again.
+// It keeps its own connection pool, because net/http takes the next bytes on a connection
+// for the answer to the last request. If a backend server sends an answer twice or late,
+// or sends other unexpected bytes, one caller would get another caller's answer. This
+// package matches answers to calls by the call ID that they echo, discards answers to other
+// calls, and doesn't reuse a connection that received unexpected input.
 //
 //	p := backend.New("10.1.0.8:8301", names)
 //	answer, err := p.Do(ctx, request)
@@ -26,33 +24,33 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Errors of an exchange.
+// Errors returned by Pool.Do.
 var (
-	// ErrDown means that nobody listens at the address; nothing was sent.
+	// ErrDown means that the connection could not be opened; nothing was sent.
 	ErrDown = errs.New("backend.down", http.StatusServiceUnavailable, "the backend server does not listen")
-	// ErrBusy means that no connection could be had; nothing was sent.
+	// ErrBusy means that the context ended before a connection was open; nothing was sent.
 	ErrBusy = errs.New("backend.busy", http.StatusServiceUnavailable, "no connection to the backend server")
 	// ErrLost means that the request was sent and may have run.
 	ErrLost = errs.New("backend.lost", http.StatusBadGateway, "the backend server gave no whole answer")
 )
 
 const (
-	// dialTimeout bounds a connection on the own host, which takes a millisecond;
-	// a host whose backend server fell silent is noticed by it.
+	// dialTimeout bounds connecting on the node's own host, which takes about 1 ms. It detects
+	// a backend server that no longer responds.
 	dialTimeout = 300 * time.Millisecond
-	// defaultIdle is how long a connection is kept whose backend server does not
-	// say for how long it keeps it.
-	defaultIdle = 4 * time.Second
-	// idlePart of the stated time is used, so that nothing is sent on a connection
-	// that is being closed at the other end.
-	idlePart = 0.7
-	// freshIdle is how long a connection may have been idle to carry a call that
-	// must not run twice: a reset on a connection that was forgotten can't be told
-	// from a run, and such calls can't be sent again.
-	freshIdle = 2 * time.Second
+	// defaultIdleLimit is how long an idle connection is kept if the backend server sends
+	// no Keep-Alive timeout.
+	defaultIdleLimit = 4 * time.Second
+	// idleLimitFactor is the part of the Keep-Alive timeout that is used, so that no request
+	// is sent while the backend server closes the connection.
+	idleLimitFactor = 0.7
+	// nonIdempotentIdleLimit bounds the idle time of a connection that carries a
+	// non-idempotent call. After a reset it is unknown whether the call ran, so it can't be
+	// retried.
+	nonIdempotentIdleLimit = 2 * time.Second
 )
 
-// Request is a call as it is sent to the backend server.
+// Request is a call to send to the backend server.
 type Request struct {
 	ID         string
 	Origin     string
@@ -65,18 +63,18 @@
 	Idempotent bool
 }
 
-// Answer is what the backend server gave.
+// Answer is the backend server's answer to a call.
 type Answer struct {
 	Status int
 	Header []call.Field
 	Body   []byte
-	// NotRun is set if the backend server says that it did not run the call.
+	// NotRun is set if the backend server states that it did not run the call.
 	NotRun bool
-	// Other is set if another instance answered, which did not run the call.
+	// Other is set if another instance answered; the call was not run.
 	Other bool
 }
 
-// Pool holds the connections to one backend server.
+// Pool manages the connections to one backend server.
 type Pool struct {
 	address string
 	names   header.Names
@@ -90,7 +88,7 @@
 // New returns a pool without connections.
 func New(address string, names header.Names) *Pool { return &Pool{address: address, names: names} }
 
-// Opened returns how many connections were opened so far.
+// Opened returns the total number of connections opened.
 func (p *Pool) Opened() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,10 +96,10 @@
 	return p.opened
 }
 
-// Do sends a request and returns its whole answer. ErrDown and ErrBusy mean that
+// Do sends a request and returns its complete answer. ErrDown and ErrBusy mean that
 // nothing was sent.
 func (p *Pool) Do(ctx context.Context, r Request) (Answer, error) {
-	c, err := p.take(ctx, r.Idempotent)
+	c, err := p.acquire(ctx, r.Idempotent)
 	if err != nil {
 		return Answer{}, err
 	}
@@ -110,22 +108,22 @@
 	if err != nil || !reusable {
 		c.close()
 	} else {
-		p.give(c)
+		p.release(c)
 	}
 
 	return a, err
 }
 
-// take returns the connection that was used last, which is the least likely to be
-// closed at the other end, or a new one.
-func (p *Pool) take(ctx context.Context, idempotent bool) (*conn, error) {
+// acquire returns the most recently used idle connection, since the backend server is the
+// least likely to have closed it, or a new connection.
+func (p *Pool) acquire(ctx context.Context, idempotent bool) (*conn, error) {
 	for {
-		c := p.pop()
+		c := p.popIdle()
 		if c == nil {
 			return p.dial(ctx)
 		}
 
-		if !c.fresh(time.Since(c.used), idempotent) || !c.quiet() {
+		if !c.reusableAfter(time.Since(c.lastUsed), idempotent) || !c.hasNoInput() {
 			c.close()
 
 			continue
@@ -135,7 +133,7 @@
 	}
 }
 
-func (p *Pool) pop() *conn {
+func (p *Pool) popIdle() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -149,26 +147,27 @@
 	return c
 }
 
-func (p *Pool) give(c *conn) {
-	c.used = time.Now()
+func (p *Pool) release(c *conn) {
+	c.lastUsed = time.Now()
 
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	p.idle = append(p.idle, c)
-	p.sweep()
+	p.closeExpired()
 }
 
-// sweep closes connections that have been idle too long to be used; the oldest are
-// in front.
-func (p *Pool) sweep() {
-	for len(p.idle) > 0 && time.Since(p.idle[0].used) > p.idle[0].keep {
+// closeExpired closes connections at the front of the list, the least recently used, that have
+// reached their idle limits. The caller holds mu.
+func (p *Pool) closeExpired() {
+	for len(p.idle) > 0 && time.Since(p.idle[0].lastUsed) > p.idle[0].idleLimit {
 		p.idle[0].close()
 		p.idle = p.idle[1:]
 	}
 }
 
-// Forget closes all idle connections, after another instance took the address.
+// Forget closes all idle connections. It is called when another instance has taken over the
+// address.
 func (p *Pool) Forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,33 +198,35 @@
 	return newConn(raw), nil
 }
 
-// Listens reports whether somebody takes connections at the address.
+// Listens reports whether a connection to the backend server can be opened. It keeps that
+// connection for later calls.
 func (p *Pool) Listens(ctx context.Context) bool {
 	c, err := p.dial(ctx)
 	if err != nil {
 		return false
 	}
 
-	p.give(c)
+	p.release(c)
 
 	return true
 }
 
-// Health is what a backend server says when it is asked for it.
+// Health is the result of a health check.
 type Health struct {
-	// Instance is empty if it did not answer.
+	// Instance is empty if the backend server did not answer or its answer names none.
 	Instance string
-	// Healthy is false also while it leaves.
+	// Healthy is also false while the backend server drains.
 	Healthy bool
-	// Slots is 0 if it does not tell its load.
+	// Slots is 0 if the answer has no load header.
 	Slots int
 }
 
-// Probe asks the backend server which instance it is and whether it is healthy.
+// Probe requests the instance ID and health of the backend server from its health path, on
+// a connection of its own.
 func (p *Pool) Probe(ctx context.Context, path string) Health {
-	const patience = time.Second
+	const probeTimeout = time.Second
 
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 
 	c, err := p.dial(ctx)
--- a/internal/backend/script_test.go
+++ b/internal/backend/script_test.go
@@ -18,8 +18,8 @@
 	"github.com/pollencart/pollencart/internal/header"
 )
 
-// patience bounds waits for what must come.
-const patience = 20 * time.Second
+// waitLimit bounds waits for expected events.
+const waitLimit = 20 * time.Second
 
 // peerConn is the backend server's end of one connection.
 type peerConn struct {
@@ -41,12 +41,13 @@
 	return r, string(body), err
 }
 
-// answer writes a whole answer to the call.
+// answer writes a complete answer to the call.
 func (c *peerConn) answer(id, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nPollencart-Call: %s\r\nPollencart-Signature: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// serve runs a script for each connection and returns a pool that leads there.
+// serve runs the script on each connection to a new listener and returns a pool for its
+// address.
 func serve(t *testing.T, script func(c *peerConn)) *backend.Pool {
 	t.Helper()
 
@@ -74,7 +75,7 @@
 	return backend.New(l.Addr().String(), header.Default())
 }
 
-// echo answers every request with its body and ID.
+// echo answers each request with its own body and call ID.
 func echo(c *peerConn) {
 	for {
 		r, body, err := c.request()
@@ -89,7 +90,7 @@
 func do(t *testing.T, p *backend.Pool, id, body string) (backend.Answer, error) {
 	t.Helper()
 
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 
 	return p.Do(ctx, backend.Request{
@@ -98,8 +99,7 @@
 	})
 }
 
-// The request arrives unchanged, with the headers that the node sets.
-func TestRequestIsUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchangedWithNodeHeaders(t *testing.T) {
 	seen := make(chan *http.Request, 1)
 	p := serve(t, func(c *peerConn) {
 		r, body, err := c.request()
@@ -123,10 +123,10 @@
 	assert.Assert(t, r.Header.Get("Pollencart-Deadline-Ms") != "")
 }
 
-// A backend server sends the answer to one call a second time, and it arrives where
-// the answer to the next call is due. A client pool would give it to the next
-// caller, who would see somebody else's data.
-func TestAnAnswerSentTwiceIsNotTheNextOne(t *testing.T) {
+// If a backend server sends an answer twice, the second copy arrives in place of the answer
+// to the next call. A client that doesn't check call IDs would return one caller's data to
+// another.
+func TestDuplicateAnswerIsNotTakenForTheNextOne(t *testing.T) {
 	p := serve(t, func(c *peerConn) {
 		r, _, err := c.request()
 		if err != nil {
@@ -155,9 +155,9 @@
 	assert.Equal(t, p.Opened(), int64(1))
 }
 
-// Bytes come on a connection while nothing is asked. Whatever they are, the next
-// answer can't be told from them, so the connection is not used again.
-func TestAConnectionWithUnexplainedBytesIsNotUsed(t *testing.T) {
+// Input that arrives on an idle connection can't be distinguished from the next answer, so
+// the connection must not be reused.
+func TestConnectionWithUnexpectedInputIsNotReused(t *testing.T) {
 	wrote := make(chan struct{})
 	p := serve(t, func(c *peerConn) {
 		if c.number > 1 {
@@ -189,10 +189,9 @@
 	assert.Equal(t, string(a.Body), "second")
 }
 
-// An answer without a length ends with its connection. A reset in the middle looks
-// the same to a careless reader, and the caller would take half of an answer for
-// the whole.
-func TestAResetIsNotTheEndOfAnAnswer(t *testing.T) {
+// The end of the connection ends an answer without a length. If a reset counted as such an
+// end, the caller would get a truncated answer as a complete one.
+func TestResetIsNotTakenForTheEndOfAnAnswer(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		p := serve(t, func(c *peerConn) {
 			if _, _, err := c.request(); err != nil {
@@ -217,8 +216,8 @@
 	}
 }
 
-// An answer states more bytes than come. The caller must not get it as whole.
-func TestAnAnswerCutShortIsLost(t *testing.T) {
+// An answer shorter than its Content-Length must not be returned as complete.
+func TestTruncatedAnswerReturnsErrLost(t *testing.T) {
 	p := serve(t, func(c *peerConn) {
 		if _, _, err := c.request(); err != nil {
 			return
@@ -231,9 +230,9 @@
 	assert.ErrorIs(t, err, backend.ErrLost)
 }
 
-// A backend server answers before it has read a long body and reads on later. If the
-// connection were used again, the next request would be read as the rest of the body.
-func TestAnEarlyAnswerEndsItsConnection(t *testing.T) {
+// A backend server may answer before it has read a long body. If the connection were
+// reused, the backend server would read the next request as the rest of the body.
+func TestConnectionIsNotReusedAfterAnAnswerBeforeTheBodyWasSent(t *testing.T) {
 	const long = 8 << 20
 
 	p := serve(t, func(c *peerConn) {
@@ -263,8 +262,8 @@
 	assert.Equal(t, p.Opened(), int64(2))
 }
 
-// The caller goes away. The backend server sees the connection end and can stop.
-func TestACallerThatLeavesEndsTheConnection(t *testing.T) {
+// When the caller cancels, the backend server detects the closed connection and can stop.
+func TestCancellingTheContextClosesTheConnection(t *testing.T) {
 	ended := make(chan struct{})
 	began := make(chan struct{})
 	p := serve(t, func(c *peerConn) {
@@ -291,13 +290,13 @@
 
 	select {
 	case <-ended:
-	case <-time.After(patience):
-		t.Fatal("the connection is still open")
+	case <-time.After(waitLimit):
+		t.Fatal("connection is still open after the call was canceled")
 	}
 }
 
-// Nobody listens: nothing was sent, and the call may go elsewhere.
-func TestNobodyListens(t *testing.T) {
+// ErrDown means that nothing was sent, so the call may be sent to another node.
+func TestRefusedConnectionReturnsErrDown(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, l.Close())
@@ -306,8 +305,8 @@
 	assert.ErrorIs(t, err, backend.ErrDown)
 }
 
-// The address belongs to another backend server by now. It says so and runs nothing.
-func TestAnotherInstanceAnswers(t *testing.T) {
+// Another instance that has taken over the address answers 421 and does not run the call.
+func TestAnswerOfAnotherInstanceMeansNotRun(t *testing.T) {
 	p := serve(t, func(c *peerConn) {
 		if _, _, err := c.request(); err == nil {
 			fmt.Fprint(c, "HTTP/1.1 421 Misdirected Request\r\nPollencart-Instance: i-2\r\nContent-Length: 0\r\n\r\n")
@@ -319,9 +318,9 @@
 	assert.Assert(t, a.Other && a.NotRun)
 }
 
-// A success without a signature or a call ID is not the backend server's word on
-// this call, whatever it is.
-func TestAnAnswerThatSaysNotWhoseItIs(t *testing.T) {
+// A success without a signature or a call ID is not known to be the backend server's answer
+// to this call.
+func TestSuccessWithoutCallIDOrSignatureReturnsErrLost(t *testing.T) {
 	for _, head := range []string{"Pollencart-Signature: s", "Pollencart-Call: id-1"} {
 		p := serve(t, func(c *peerConn) {
 			if _, _, err := c.request(); err == nil {
@@ -334,8 +333,7 @@
 	}
 }
 
-// Many calls one after the other need one connection.
-func TestConnectionsAreKept(t *testing.T) {
+func TestSequentialCallsReuseOneConnection(t *testing.T) {
 	p := serve(t, echo)
 
 	for range 20 {
