--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,9 +1,9 @@
-// Package forward holds the messages with which the node that a caller reaches
-// hands a call to the node beside a backend server.
+// Package forward defines the messages with which the entry node, which received a call
+// from its caller, forwards the call to the node on a backend server's host.
 //
-// Both are kept small, since bytes between failure domains cost more than anything
-// else that a node does: arrays without field names, times in milliseconds, and no
-// header that the other end can work out.
+// The messages are kept small, because traffic between failure domains is a node's largest
+// cost: they are encoded as arrays without field names, times are in milliseconds, and
+// headers that the receiver can derive are left out.
 //
 //	reply := forward.Reply{}
 //	err := peers.Do(ctx, address, peer.LaneCalls, forward.MethodRun, request, &reply)
@@ -20,18 +20,18 @@
 // MethodRun is the peer method that runs a call.
 const MethodRun = "Run"
 
-// ErrMessage is returned for a message that does not check.
+// ErrMessage is returned for an invalid message.
 var ErrMessage = errs.New("forward.message", http.StatusBadRequest, "message not accepted")
 
-// Request is a call on its way to a backend server.
+// Request asks a node to run a call on its backend server.
 type Request struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	ID      string `msgpack:"ID"`
 	Service string `msgpack:"Service"`
-	// Route names the route; the time that its calls take is learnt by it.
+	// Route names the route; nodes estimate service times per route.
 	Route string `msgpack:"Route"`
-	// Origin is the service of the host where the call began.
+	// Origin is the service of the host where the call originates.
 	Origin string       `msgpack:"Origin"`
 	Method string       `msgpack:"Method"`
 	Host   string       `msgpack:"Host"`
@@ -41,20 +41,20 @@
 	// Idempotent calls may be sent to more than one backend server.
 	Idempotent bool `msgpack:"Idempotent"`
 	Rank       int  `msgpack:"Rank"`
-	// RemainingMs is until the caller gives up, TargetMs until the answer is worth
-	// less to it.
+	// RemainingMs is the time until the caller's deadline, TargetMs the time until the call is
+	// past its target.
 	RemainingMs int64 `msgpack:"RemainingMs"`
 	TargetMs    int64 `msgpack:"TargetMs"`
-	// Elsewhere says that another node can take the call if this one is busy.
+	// Elsewhere is set if another node can run the call if this one is busy.
 	Elsewhere bool `msgpack:"Elsewhere"`
-	// Crashes are those of backend servers that earlier tries were running in.
+	// Crashes lists the backend server crashes during which earlier attempts were running.
 	Crashes []call.Crash `msgpack:"Crashes"`
-	// Nearby says that another node of the failure domain may have a slot free, if this
-	// one has none.
+	// Nearby is set if another node of the same failure domain may have a free slot, in case
+	// this one has none.
 	Nearby bool `msgpack:"Nearby"`
 }
 
-// Check reports whether a decoded request can be used.
+// Check returns an error if a decoded request is invalid.
 func (r *Request) Check() error {
 	if r.ID == "" || r.Service == "" || r.Method == "" || r.URI == "" {
 		return ErrMessage.With("ID, Service, Method or URI is missing")
@@ -63,29 +63,30 @@
 	return nil
 }
 
-// Remaining returns the time until the caller gives up.
+// Remaining returns the time until the caller's deadline.
 func (r *Request) Remaining() time.Duration { return time.Duration(r.RemainingMs) * time.Millisecond }
 
-// Target returns the time until the answer is worth less.
+// Target returns the time until the call is past its target.
 func (r *Request) Target() time.Duration { return time.Duration(r.TargetMs) * time.Millisecond }
 
-// Result says what became of a call at the node that was asked.
+// Result is the outcome of a call at the node that the request was sent to.
 type Result uint8
 
-// The results.
+// The results of a request.
 const (
-	// Answered means that the backend server gave the answer.
+	// Answered means that the reply holds the backend server's answer.
 	Answered Result = iota + 1
-	// Refused means that the node did not pass the call on, and never will.
+	// Refused means that the node rejected the call without sending it to the backend server,
+	// and will not send it later.
 	Refused
-	// Shed means that the backend server was asked and said that it did not run
-	// the call.
+	// Shed means that the backend server received the call and rejected it without running
+	// it.
 	Shed
-	// Lost means that the backend server was asked and nobody knows whether it ran
-	// the call.
+	// Lost means that the call was sent to the backend server and it is unknown whether it
+	// ran.
 	Lost
-	// Suspected means that the node did not pass the call on, since it was running when
-	// backend servers crashed. No other node is asked: one may not have heard of it.
+	// Suspected means that the node rejected the call because it was running when backend
+	// servers crashed. The call is not sent to other nodes, which may not know of the crashes.
 	Suspected
 )
 
@@ -99,38 +100,39 @@
 	return "invalid"
 }
 
-// Reasons that the node that asked acts on.
+// Reasons of a Refused reply that the entry node acts on.
 const (
-	// ReasonElsewhere means that the call would be late and others may take it.
+	// ReasonElsewhere means that the call would miss its target here and another node may run
+	// it.
 	ReasonElsewhere = "would be late here"
-	// ReasonWaits means that the call would be on time but would wait, and that others near
-	// may have a slot free.
+	// ReasonWaits means that the call would meet its target here but would wait, and that
+	// another node of the same failure domain may have a free slot.
 	ReasonWaits = "would wait here"
-	// ReasonNone means that no backend server takes calls there.
+	// ReasonNone means that no backend server accepts calls at the node.
 	ReasonNone = "no backend server takes calls"
 )
 
-// Load is what a node tells about its backend server with each reply.
+// Load is the state of a node's backend server that is reported with each reply.
 type Load struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
 	Slots   int `msgpack:"Slots"`
 	Running int `msgpack:"Running"`
 	Waiting int `msgpack:"Waiting"`
-	// WaitsMs is how long a call would wait now, by its rank; less urgent ones wait
-	// as long as the last.
+	// WaitsMs is the estimated wait of a new call by its rank; calls of higher ranks, which
+	// are less urgent, wait as long as those of the last rank.
 	WaitsMs [Ranks]int64 `msgpack:"WaitsMs"`
 }
 
-// Ranks is how many ranks a load tells apart; routes have three priorities.
+// Ranks is the number of ranks in a Load; routes have three priorities.
 const Ranks = 3
 
-// Wait returns how long a call of a rank would wait.
+// Wait returns the estimated wait of a call of the rank.
 func (l Load) Wait(rank int) time.Duration {
 	return time.Duration(l.WaitsMs[min(max(rank, 0), Ranks-1)]) * time.Millisecond
 }
 
-// Reply is what became of a call.
+// Reply is the answer to a Request.
 type Reply struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -138,17 +140,18 @@
 	Status int          `msgpack:"Status"`
 	Header []call.Field `msgpack:"Header"`
 	Body   []byte       `msgpack:"Body"`
-	// Reason says why there is no answer, RetryMs when to come back.
+	// Reason says why there is no answer, RetryMs after what time to retry.
 	Reason  string `msgpack:"Reason"`
 	RetryMs int64  `msgpack:"RetryMs"`
 	Load    Load   `msgpack:"Load"`
-	// HeldMs is how long the backend server took.
+	// HeldMs is the service time of the call at the backend server.
 	HeldMs int64 `msgpack:"HeldMs"`
-	// Crashes are those of backend servers that the call is known to have been running in.
+	// Crashes lists the backend server crashes during which the call is known to have been
+	// running.
 	Crashes []call.Crash `msgpack:"Crashes"`
 }
 
-// Check reports whether a decoded reply can be used.
+// Check returns an error if a decoded reply is invalid.
 func (r *Reply) Check() error {
 	if r.Result < Answered || r.Result > Suspected {
 		return ErrMessage.With("result %d", r.Result)
@@ -157,11 +160,11 @@
 	return nil
 }
 
-// Elsewhere reports whether the node left the call to others, and would take it if they do
-// not.
+// Elsewhere reports whether the node rejected the call in favor of other nodes, and would
+// run it if they do not.
 func (r *Reply) Elsewhere() bool {
 	return r.Result == Refused && (r.Reason == ReasonElsewhere || r.Reason == ReasonWaits)
 }
 
-// RetryAfter returns when to come back.
+// RetryAfter returns the time after which to retry.
 func (r *Reply) RetryAfter() time.Duration { return time.Duration(r.RetryMs) * time.Millisecond }
