--- a/internal/header/header.go
+++ b/internal/header/header.go
@@ -1,7 +1,7 @@
-// Package header names the HTTP headers that mean something to the nodes, and
-// tells which headers a node passes on.
+// Package header defines the names of the HTTP headers that nodes interpret, and filters
+// the headers that a node forwards.
 //
-// The names differ between platforms; what they hold does not.
+// The names differ between platforms; the meanings are the same.
 //
 //	names := header.Default()
 //	fields := names.Forwarded(request.Header)
@@ -15,28 +15,28 @@
 	"github.com/pollencart/pollencart/internal/call"
 )
 
-// Names are the headers by what they hold.
+// Names holds the header names by meaning.
 type Names struct {
-	// Call identifies one attempt of a caller; a backend server echoes it, which
-	// tells its answer from one that belongs to another request.
+	// Call identifies one attempt of a caller. The backend server echoes it, which
+	// distinguishes its answer from one to another request.
 	Call string
-	// Deadline holds how many milliseconds the sender still waits.
+	// Deadline holds the remaining time until the sender's deadline, in milliseconds.
 	Deadline string
-	// Caller holds the service of the host where the call began.
+	// Caller holds the service of the host where the call originates.
 	Caller string
-	// Expected holds the instance that a call is meant for.
+	// Expected holds the instance that the call is sent to.
 	Expected string
-	// Instance holds the instance that answers.
+	// Instance holds the instance that sends the answer.
 	Instance string
-	// Load holds running calls, waiting calls and slots of a backend server.
+	// Load holds the numbers of running calls, waiting calls and slots of a backend server.
 	Load string
 	// NotRun is set on answers to calls that the backend server did not run.
 	NotRun string
-	// Signature proves that an answer is the backend server's.
+	// Signature proves that an answer comes from the backend server.
 	Signature string
 }
 
-// Default returns the product's own names.
+// Default returns the default names.
 func Default() Names {
 	return Names{
 		Call:      "Pollencart-Call",
@@ -50,39 +50,39 @@
 	}
 }
 
-// Forwarded returns the headers of a request that go on to the backend server.
-// Left out are those that concern one connection, and those that nodes or backend
-// servers set: a caller could forge its service, or choose an instance.
+// Forwarded returns the headers of a request that are sent to the backend server. It omits
+// hop-by-hop headers and those that nodes or backend servers set, since a caller could use
+// the latter to forge its service or to choose an instance.
 func (n Names) Forwarded(h http.Header) []call.Field {
-	return n.pass(h, n.Call, n.Deadline, n.Caller, n.Expected, n.Instance, n.Load, n.NotRun, n.Signature,
+	return n.filter(h, n.Call, n.Deadline, n.Caller, n.Expected, n.Instance, n.Load, n.NotRun, n.Signature,
 		"Host", "Content-Length", "Expect")
 }
 
-// Returned returns the headers of an answer that go back to the caller. The load
-// is for the nodes; the length is written anew.
+// Returned returns the headers of an answer that are sent to the caller. It omits
+// hop-by-hop headers, those that are meant for nodes, and the length, which is set anew.
 func (n Names) Returned(h http.Header) []call.Field {
-	return n.pass(h, n.Load, n.NotRun, n.Instance, "Content-Length")
+	return n.filter(h, n.Load, n.NotRun, n.Instance, "Content-Length")
 }
 
-// Slots returns how many calls the backend server that answered runs at the same time,
-// or 0 if it does not say.
+// Slots returns the number of calls that the backend server runs concurrently according to
+// the load header, or 0 if that header is missing or invalid.
 func (n Names) Slots(h http.Header) int {
 	parts := strings.Split(h.Get(n.Load), ",")
 
 	slots, err := strconv.Atoi(parts[len(parts)-1])
 	if err != nil || slots < 0 {
-		return 0 // not told, or not a load
+		return 0
 	}
 
 	return slots
 }
 
-func (n Names) pass(h http.Header, without ...string) []call.Field {
+func (n Names) filter(h http.Header, excluded ...string) []call.Field {
 	out := make([]call.Field, 0, len(h))
-	named := h.Values("Connection")
+	connectionValues := h.Values("Connection")
 
 	for name, values := range h {
-		if oneConnection(name) || listed(without, name) || connectionNames(named, name) {
+		if isHopByHop(name) || containsFold(excluded, name) || listedInConnection(connectionValues, name) {
 			continue
 		}
 
@@ -94,7 +94,7 @@
 	return out
 }
 
-func listed(names []string, name string) bool {
+func containsFold(names []string, name string) bool {
 	for _, n := range names {
 		if strings.EqualFold(n, name) {
 			return true
@@ -104,7 +104,7 @@
 	return false
 }
 
-func connectionNames(values []string, name string) bool {
+func listedInConnection(values []string, name string) bool {
 	for _, v := range values {
 		for token := range strings.SplitSeq(v, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), name) {
@@ -116,7 +116,7 @@
 	return false
 }
 
-func oneConnection(name string) bool {
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 		"Transfer-Encoding", "Upgrade":
