--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -166,9 +166,9 @@
 	}
 }
 
-// Forget closes all idle connections. It is called when another instance has taken over the
+// CloseIdle closes all idle connections. It is called when another instance has taken over the
 // address.
-func (p *Pool) Forget() {
+func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -238,7 +238,7 @@
 	case err != nil:
 		return r.classifyLost(ctx, s, err)
 	case a.Other:
-		r.options.Pool.Forget()
+		r.options.Pool.CloseIdle()
 		r.options.Host.Replaced(s.Instance)
 
 		return refused(forward.ReasonNone, downRetryAfter), poison.Finished
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -65,7 +65,7 @@
 	t.Cleanup(server.Close)
 
 	pool := backend.New(strings.TrimPrefix(server.URL, "http://"), header.Default())
-	t.Cleanup(pool.Forget)
+	t.Cleanup(pool.CloseIdle)
 
 	host := announce.New(
 		announce.FirstStart(true),
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -241,7 +241,7 @@
 	// one can't be told from a call that ran.
 	if start := (tombstone.Instance{ID: s.Instance, Started: s.Started}); start != n.instance {
 		n.instance = start
-		n.pool.Forget()
+		n.pool.CloseIdle()
 
 		go n.watch.Restarted(context.Background())
 	}
