--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// Settle excludes connections that are accepted from now on from Busy.
-func (s *Server) Settle() {
+// StopCounting excludes connections that are accepted from now on from Busy.
+func (s *Server) StopCounting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -160,7 +160,7 @@
 // closeIntake refuses calls of callers. Who connects now is not waited for.
 func (n *Sidecar) closeIntake() {
 	n.draining.Close()
-	n.ingress.Settle()
+	n.ingress.StopCounting()
 }
 
 // abandon takes no more connections, ends the calls of callers that are under way, and gives
