--- a/internal/frontend/answer_test.go
+++ b/internal/frontend/answer_test.go
@@ -21,14 +21,14 @@
 	"github.com/pollencart/pollencart/internal/upstream"
 )
 
-// scripted is gates that answer as a test says; it keeps what they were sent.
-type scripted struct {
+// fakeGates answers calls with the function of a test, and records the calls and addresses.
+type fakeGates struct {
 	answer func(ctx context.Context, to string) (gate.Reply, error)
 	sent   []call.Call
 	to     []string
 }
 
-func (s *scripted) Do(ctx context.Context, address string, _ peer.Lane, _ string, in, out any) error {
+func (s *fakeGates) Do(ctx context.Context, address string, _ peer.Lane, _ string, in, out any) error {
 	s.sent = append(s.sent, in.(call.Call))
 	s.to = append(s.to, address)
 
@@ -38,8 +38,8 @@
 	return err
 }
 
-func twoGates() fixed {
-	var out fixed
+func twoGates() fixedMembers {
+	var out fixedMembers
 	for _, id := range []string{"a", "b"} {
 		out = append(out, membership.Record{
 			ID: id, PeerAddress: id, State: membership.StateAlive,
@@ -50,11 +50,11 @@
 	return out
 }
 
-func send(t *testing.T, s *scripted, header map[string]string) *httptest.ResponseRecorder {
+func send(t *testing.T, s *fakeGates, header map[string]string) *httptest.ResponseRecorder {
 	t.Helper()
 
 	h := frontend.New(
-		frontend.Node("derby-browse-1"), frontend.Settings(held{newSnapshot(t)}), frontend.Members(twoGates()), frontend.WithPeers(s),
+		frontend.Node("derby-browse-1"), frontend.Settings(fixedSettings{newSnapshot(t)}), frontend.Members(twoGates()), frontend.WithPeers(s),
 	).Handler()
 	req := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/folders/1", nil)
 	req.Header.Set(frontend.HeaderCall, "01JDXK3N9YVQ6V2W4T8QF5J0RZ")
@@ -69,14 +69,14 @@
 	return w
 }
 
-func refuses(err error, ran call.Ran) func(context.Context, string) (gate.Reply, error) {
+func refuseWith(err error, ran call.Ran) func(context.Context, string) (gate.Reply, error) {
 	return func(context.Context, string) (gate.Reply, error) {
 		return gate.Reply{Refusal: call.Refuse(err, ran, 420*time.Millisecond).WithLoad(call.Load{Slots: 10})}, nil
 	}
 }
 
-func TestTheFormOfACallThatWasGivenUp(t *testing.T) {
-	s := &scripted{answer: refuses(admission.ErrShare, call.RanNo)}
+func TestRejectionHasStatusHeadersAndBody(t *testing.T) {
+	s := &fakeGates{answer: refuseWith(admission.ErrShare, call.RanNo)}
 	w := send(t, s, nil)
 	assert.Equal(t, w.Code, http.StatusTooManyRequests)
 	assert.Equal(t, w.Header().Get("Retry-After"), "1")
@@ -87,9 +87,10 @@
 	golden.Assert(t, w.Body.String(), "turned_away.golden")
 }
 
-// A gate turns the call away as not run; the other one could have answered.
-func TestACallThatDidNotRunGoesToAnotherGate(t *testing.T) {
-	s := &scripted{answer: refuses(admission.ErrWait, call.RanNo)}
+// A call that a gate rejects as "not run" must be retried at another gate, which may have
+// capacity.
+func TestCallThatDidNotRunIsRetriedAtAnotherGate(t *testing.T) {
+	s := &fakeGates{answer: refuseWith(admission.ErrWait, call.RanNo)}
 	w := send(t, s, nil)
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, len(s.sent), 2)
@@ -98,21 +99,21 @@
 	assert.Equal(t, w.Header().Get(frontend.HeaderAttempts), "2")
 }
 
-// A layer above is already trying again. If each layer did, a chain of calls
-// would multiply the load.
-func TestACallThatALayerAboveRepeatsIsSentOnce(t *testing.T) {
-	s := &scripted{answer: refuses(admission.ErrWait, call.RanNo)}
+// The attempt header shows that the caller already retries. If each layer of a chain of calls
+// retried as well, the load would multiply.
+func TestCallRetriedByItsCallerIsSentOnce(t *testing.T) {
+	s := &fakeGates{answer: refuseWith(admission.ErrWait, call.RanNo)}
 	send(t, s, map[string]string{frontend.HeaderAttempt: "2", frontend.HeaderDepth: "3"})
 	assert.Equal(t, len(s.sent), 1)
 	assert.Equal(t, s.sent[0].Attempt, 2)
 	assert.Equal(t, s.sent[0].Depth, 4)
 }
 
-// A gate says nothing at all. The caller must hear at its deadline, not later,
-// and must not be told that the call did not run.
-func TestASilentGateEndsAtTheDeadline(t *testing.T) {
+// If a gate never replies, the caller must get an error at its deadline, not later, and the
+// error must not claim that the call did not run.
+func TestSilentGateTimesOutAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scripted{answer: func(ctx context.Context, _ string) (gate.Reply, error) {
+		s := &fakeGates{answer: func(ctx context.Context, _ string) (gate.Reply, error) {
 			<-ctx.Done()
 
 			return gate.Reply{}, peer.ErrBroken.Wrap(ctx.Err())
@@ -123,16 +124,15 @@
 		assert.Equal(t, w.Header().Get(frontend.HeaderReason), "entry.deadline")
 		assert.Equal(t, w.Header().Get(frontend.HeaderRan), "unknown")
 		assert.Equal(t, time.Since(start), 300*time.Millisecond)
-		assert.Assert(t, time.Duration(s.sent[0].Remaining) < 300*time.Millisecond, "the gate gives up first")
+		assert.Assert(t, time.Duration(s.sent[0].Remaining) < 300*time.Millisecond, "the gate must time out before the entry node")
 	})
 }
 
-// The gate whose backend server ended could not warn the next one, which the entry
-// sends the call to. The call brings the word itself; without it one call took down two
-// backend servers within 4 ms.
-func TestTheNextGateIsToldOfACrash(t *testing.T) {
+// A gate whose backend server crashed may be unable to notify the gate of the next attempt. The
+// call must carry the crash itself; otherwise one call crashes two backend servers within 4 ms.
+func TestNextAttemptCarriesCrash(t *testing.T) {
 	crash := call.Crash{Gate: "a#1", Number: 1, Address: "a"}
-	s := &scripted{}
+	s := &fakeGates{}
 	s.answer = func(context.Context, string) (gate.Reply, error) {
 		r := call.Refuse(upstream.ErrCrashed, call.RanUnknown, time.Second).WithLoad(call.Load{Slots: 10})
 
--- a/internal/frontend/attempt.go
+++ b/internal/frontend/attempt.go
@@ -23,16 +23,16 @@
 type gates struct {
 	options Options
 	budget  *retry.Budget
-	kept    sync.Map // candidates by service
+	cached  sync.Map // service name -> *candidates
 }
 
-// attempt sends the call until it has an answer, a refusal that must not be
-// tried again, or no attempts left.
+// attempt sends the call to one gate after another until a gate answers, a refusal must not
+// be retried, or no attempts are left.
 func (g *gates) attempt(ctx context.Context, c call.Call) (call.Answer, error) {
 	var last error
 
 	made := 0
-	upper := max(c.Attempt, 1)
+	firstAttempt := max(c.Attempt, 1)
 	need := selection.Need{Class: c.Class, Idempotent: c.Idempotent}
 
 	for {
@@ -43,7 +43,7 @@
 
 		made++
 
-		a, err := g.send(ctx, candidate, c.WithAttempt(upper+made-1))
+		a, err := g.send(ctx, candidate, c.WithAttempt(firstAttempt+made-1))
 		if err == nil {
 			g.budget.Answered(c.Route, c.Values.RetryBudget)
 
@@ -61,13 +61,13 @@
 		g.options.Recorder.Record(event.CallRetried, timeline.Entry{Call: c.ID, Peer: candidate.ID, Detail: err.Error()})
 	}
 
-	return call.Answer{}, g.givenUp(c, last, made)
+	return call.Answer{}, g.finalRefusal(c, last, made)
 }
 
-// crashesOf returns the crashes that the call is known to have been running in after
-// another attempt. The gate that the next attempt goes to may not have heard of them:
-// over a link that carries words one way only the gate that saw a crash warns nobody,
-// and the call itself ended the next backend server within 4 ms.
+// crashesOf returns the backend server crashes during which the call is known to have been
+// running. The next attempt carries them because the gate that saw a crash can't notify other
+// gates over a link that works in one direction only; without them, a call crashed a second
+// backend server within 4 ms.
 func crashesOf(c call.Call, err error) []call.Crash {
 	var r *call.Refusal
 	if errors.As(err, &r) && len(r.Crashes) > 0 {
@@ -77,8 +77,8 @@
 	return c.Crashes
 }
 
-// givenUp is the final refusal of a call.
-func (g *gates) givenUp(c call.Call, last error, made int) error {
+// finalRefusal returns the refusal of the last attempt, or ErrNoUpstream if no attempt was made.
+func (g *gates) finalRefusal(c call.Call, last error, made int) error {
 	var r *call.Refusal
 	if !errors.As(last, &r) {
 		r = call.Refuse(ErrNoUpstream.With("%s", c.Service), call.RanNo, time.Second)
@@ -87,18 +87,18 @@
 	return r.WithAttempts(made)
 }
 
-// candidates are the gates of a service. Members hands out the same slice until
-// something changed, so the candidates made of it are kept.
+// candidates returns the gates of a service. Members returns the same slice until a record
+// changes, so the list is cached for as long as the slice is the same.
 func (g *gates) candidates(service string) []selection.Candidate {
 	records := g.options.Members.Serving(service)
 	if len(records) == 0 {
 		return nil
 	}
 
-	if kept, ok := g.kept.Load(service); ok {
-		k := kept.(*candidates)
-		if &k.records[0] == &records[0] && len(k.records) == len(records) {
-			return k.list
+	if cached, ok := g.cached.Load(service); ok {
+		entry := cached.(*candidates)
+		if &entry.records[0] == &records[0] && len(entry.records) == len(records) {
+			return entry.list
 		}
 	}
 
@@ -107,12 +107,12 @@
 		list[i] = candidateOf(&records[i])
 	}
 
-	g.kept.Store(service, &candidates{records, list})
+	g.cached.Store(service, &candidates{records, list})
 
 	return list
 }
 
-// candidates of one service and the records that they were made of.
+// candidates is a cached candidate list with the records that it was built from.
 type candidates struct {
 	records []membership.Record
 	list    []selection.Candidate
@@ -130,9 +130,9 @@
 
 	var reply gate.Reply
 
-	err := g.options.Peers.Do(ctx, to.Address, peer.LaneCalls, gate.MethodRun, c.WithRemaining(forGate(ctx)), &reply)
+	err := g.options.Peers.Do(ctx, to.Address, peer.LaneCalls, gate.MethodRun, c.WithRemaining(gateTimeout(ctx)), &reply)
 	if err != nil {
-		err = lost(ctx, err)
+		err = refusalOf(ctx, err)
 	} else if reply.Refusal != nil {
 		err = reply.Refusal
 	}
@@ -152,18 +152,18 @@
 
 	if !invariant.Check(g.options.Recorder, invariant.AnswersMatch, reply.Answer.Call == c.ID,
 		timeline.Entry{Call: c.ID, Peer: to.ID, Detail: "answer to " + reply.Answer.Call}) {
-		return call.Answer{}, call.Refuse(ErrCrossed, call.RanUnknown, time.Second)
+		return call.Answer{}, call.Refuse(ErrAnswerMismatch, call.RanUnknown, time.Second)
 	}
 
 	return *reply.Answer, nil
 }
 
-// forGate is the time that the gate has: a little less than is left, so that
-// its exact refusal (not run) arrives before the entry gives up not knowing.
-func forGate(ctx context.Context) time.Duration {
+// gateTimeout returns the time that the gate gets: a little less than is left, so that its
+// "not run" refusal arrives before the entry times out and has to report "unknown".
+func gateTimeout(ctx context.Context) time.Duration {
 	const (
-		wayBack = 2 * time.Millisecond
-		part    = 10
+		maxReserve      = 2 * time.Millisecond
+		reserveFraction = 10
 	)
 
 	deadline, ok := ctx.Deadline()
@@ -173,12 +173,12 @@
 
 	left := time.Until(deadline)
 
-	return left - min(wayBack, left/part)
+	return left - min(maxReserve, left/reserveFraction)
 }
 
-// lost makes a refusal of an attempt without a reply. A context that ends with ErrGivenUp is
-// that of a node that is being stopped, and its caller still waits.
-func lost(ctx context.Context, err error) error {
+// refusalOf returns the refusal for an attempt that got no reply. A context canceled with
+// ErrGivenUp means that this node is stopping while the caller still waits.
+func refusalOf(ctx context.Context, err error) error {
 	ran := call.RanUnknown
 	if errors.Is(err, peer.ErrUnreachable) || errors.Is(err, peer.ErrFrameTooLarge) {
 		ran = call.RanNo
@@ -186,7 +186,7 @@
 
 	switch {
 	case errors.Is(context.Cause(ctx), ErrGivenUp) && ran == call.RanNo:
-		err = ErrLeaving.Wrap(err)
+		err = ErrDraining.Wrap(err)
 	case errors.Is(context.Cause(ctx), ErrGivenUp):
 		err = ErrGivenUp.Wrap(err)
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -198,7 +198,7 @@
 	return call.Refuse(err, ran, time.Second)
 }
 
-// outcomeOf says what a failed attempt tells of its gate.
+// outcomeOf returns what the selector records about the gate of a failed attempt.
 func outcomeOf(ctx context.Context, err error) selection.Outcome {
 	var r *call.Refusal
 	if !errors.As(err, &r) {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,7 +1,9 @@
-// Package frontend speaks HTTP with callers: the entry of a call's path.
+// Package frontend is the HTTP server for callers. The node that receives a call from its
+// caller is the entry node of the call.
 //
-// The pipe is decode, route, deadline, attempt, answer. Each stage is a filter
-// that can be read by itself.
+// A call passes through these stages: decode, match the route, apply the deadline, route a
+// keyed call to its home, send attempts to gates, write the answer. A gate is the node on a
+// backend server's host. The home of an idempotency key is the node that owns the key.
 //
 //	entry := frontend.New(frontend.Settings(holder), frontend.Members(table), frontend.Peers(client))
 //	http.Serve(listener, entry.Handler())
@@ -28,21 +30,21 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Errors of the entry.
+// Errors that the entry node reports to callers.
 var (
-	ErrNoSettings = errs.New("entry.no_settings", http.StatusServiceUnavailable, "this node holds no settings yet")
-	ErrNoRoute    = errs.New("entry.no_route", http.StatusNotFound, "no route takes this request")
-	ErrBody       = errs.New("entry.body", http.StatusRequestEntityTooLarge, "request body over the route's limit")
-	ErrNoUpstream = errs.New("entry.no_upstream", http.StatusServiceUnavailable, "no backend server of the service is ready")
-	ErrLeaving    = errs.New("entry.leaving", http.StatusServiceUnavailable, "this node is leaving")
-	ErrGivenUp    = errs.New("entry.given_up", http.StatusBadGateway, "this node ended before the answer came")
-	ErrDeadline   = errs.New("entry.deadline", http.StatusGatewayTimeout, "no answer came before the deadline")
-	ErrCanceled   = errs.New("entry.canceled", admission.StatusClientClosed, "the caller went away")
-	ErrCrossed    = errs.New("entry.crossed", http.StatusBadGateway, "the answer belongs to another call")
-	ErrHeader     = errs.New("entry.header", http.StatusBadRequest, "header not accepted")
+	ErrNoSettings     = errs.New("entry.no_settings", http.StatusServiceUnavailable, "this node holds no settings yet")
+	ErrNoRoute        = errs.New("entry.no_route", http.StatusNotFound, "no route takes this request")
+	ErrBody           = errs.New("entry.body", http.StatusRequestEntityTooLarge, "request body over the route's limit")
+	ErrNoUpstream     = errs.New("entry.no_upstream", http.StatusServiceUnavailable, "no backend server of the service is ready")
+	ErrDraining       = errs.New("entry.leaving", http.StatusServiceUnavailable, "this node is leaving")
+	ErrGivenUp        = errs.New("entry.given_up", http.StatusBadGateway, "this node ended before the answer came")
+	ErrDeadline       = errs.New("entry.deadline", http.StatusGatewayTimeout, "no answer came before the deadline")
+	ErrCanceled       = errs.New("entry.canceled", admission.StatusClientClosed, "the caller went away")
+	ErrAnswerMismatch = errs.New("entry.crossed", http.StatusBadGateway, "the answer belongs to another call")
+	ErrHeader         = errs.New("entry.header", http.StatusBadRequest, "header not accepted")
 )
 
-// Headers towards callers.
+// Headers of requests from callers and of responses to them.
 const (
 	HeaderCall     = "Pollencart-Call"
 	HeaderCaller   = "Pollencart-Caller"
@@ -61,31 +63,31 @@
 	HeaderHome     = "Pollencart-Home"
 )
 
-// leavingRetry is when to come back after a refusal by a node that is being stopped:
-// other nodes take the call at once.
-const leavingRetry = 100 * time.Millisecond
+// drainingRetryAfter is the retry delay in refusals of a draining node. It is short because
+// other nodes accept the call immediately.
+const drainingRetryAfter = 100 * time.Millisecond
 
-// Entry takes calls of callers.
+// Entry handles the calls that callers send to this node.
 type Entry struct {
 	options Options
 	pipe    call.Handler
-	home    call.Handler // the pipe of a call that another node forwarded here
+	home    call.Handler // handles calls that other nodes forward to this node as the home of the key
 	gates   *gates
 }
 
-// New returns an entry.
+// New returns an Entry with the given options.
 func New(opts ...Option) *Entry {
 	o := newOptions(opts...)
 	e := &Entry{options: o}
 	o.Peers = o.Home.Guard(o.Peers)
 	e.gates = &gates{options: o, budget: retry.New()}
-	e.pipe = call.Chain(e.gates.attempt, e.deadline, e.once, e.start)
-	e.home = call.Chain(e.gates.attempt, e.deadline, e.start)
+	e.pipe = call.Chain(e.gates.attempt, e.deadline, e.once, e.runAtHome)
+	e.home = call.Chain(e.gates.attempt, e.deadline, e.runAtHome)
 
 	return e
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the HTTP handler for callers.
 func (e *Entry) Handler() http.Handler {
 	s := echo.New()
 	s.HideBanner = true
@@ -108,7 +110,7 @@
 	c.Response().Header().Set(HeaderHome, e.options.Home.Name().String())
 
 	if err != nil {
-		return e.turnAway(c, id, err)
+		return e.writeRejection(c, id, err)
 	}
 
 	e.options.Recorder.Record(event.CallAnswered, timeline.Entry{Call: id, Peer: a.Upstream})
@@ -136,7 +138,7 @@
 
 	c, err := decode(r, id, route.Values.BodyLimit)
 	if err != nil && !e.options.Intake.Takes(time.Now()) {
-		return call.Answer{}, call.Refuse(ErrLeaving.Wrap(err), call.RanNo, leavingRetry)
+		return call.Answer{}, call.Refuse(ErrDraining.Wrap(err), call.RanNo, drainingRetryAfter)
 	}
 
 	if err != nil {
@@ -145,7 +147,7 @@
 
 	c = c.WithRoute(route, snapshot.Version().Number)
 	if !e.options.Intake.Takes(time.Now().Add(timeLimit(c))) {
-		return call.Answer{}, call.Refuse(ErrLeaving, call.RanNo, leavingRetry)
+		return call.Answer{}, call.Refuse(ErrDraining, call.RanNo, drainingRetryAfter)
 	}
 
 	return e.pipe(r.Context(), c)
@@ -233,8 +235,8 @@
 	return false
 }
 
-// deadline bounds the call by the route's deadline or by what the caller says
-// is left, whichever is less.
+// deadline limits the call to the route's deadline or the remaining time that the caller
+// states, whichever is shorter.
 func (e *Entry) deadline(next call.Handler) call.Handler {
 	return func(ctx context.Context, c call.Call) (call.Answer, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeLimit(c))
@@ -280,7 +282,7 @@
 	return err
 }
 
-// TurnedAway is the one form of the final answer to a call that was given up.
+// TurnedAway is the JSON body of the response to a rejected or failed call.
 type TurnedAway struct {
 	ID           string   `json:"ID"`
 	Code         int      `json:"Code"`
@@ -294,13 +296,13 @@
 	NotForwarded bool     `json:"NotForwarded,omitempty"`
 }
 
-func (e *Entry) turnAway(c echo.Context, id string, err error) error {
+func (e *Entry) writeRejection(c echo.Context, id string, err error) error {
 	var r *call.Refusal
 	if !errors.As(err, &r) {
 		r = call.Refuse(err, call.RanUnknown, time.Second)
 	}
 
-	r = ofKey(c.Request(), r)
+	r = withRequestKey(c.Request(), r)
 	number := event.CallTurnedAway
 	if r.Ran == call.RanUnknown {
 		number = event.CallUnknown
--- a/internal/frontend/home_test.go
+++ b/internal/frontend/home_test.go
@@ -20,23 +20,23 @@
 	"github.com/pollencart/pollencart/internal/once/key"
 )
 
-// believed is the home of a key, as the entry's node holds it.
-type believed struct{ state atomic.Uint32 }
+// homeView is the entry node's membership view of the home of a key.
+type homeView struct{ state atomic.Uint32 }
 
-func (b *believed) Find(id string) (membership.Record, bool) {
-	return membership.Record{ID: id, PeerAddress: id, State: membership.State(b.state.Load())}, true
+func (h *homeView) Find(id string) (membership.Record, bool) {
+	return membership.Record{ID: id, PeerAddress: id, State: membership.State(h.state.Load())}, true
 }
 
-// upload sends an upload whose home answers after 300 ms, and has the entry's node believe
-// something else of the home in between.
+// upload sends an upload whose home answers after 300 ms. The entry node's view of the home
+// changes to the given state after 50 ms.
 func upload(t *testing.T, then membership.State) *httptest.ResponseRecorder {
 	t.Helper()
 
-	home := &believed{}
+	home := &homeView{}
 	home.state.Store(uint32(membership.StateAlive))
 	time.AfterFunc(50*time.Millisecond, func() { home.state.Store(uint32(then)) })
 
-	s := &scripted{answer: func(ctx context.Context, _ string) (gate.Reply, error) {
+	s := &fakeGates{answer: func(ctx context.Context, _ string) (gate.Reply, error) {
 		select {
 		case <-ctx.Done():
 			return gate.Reply{}, ctx.Err()
@@ -45,7 +45,7 @@
 		}
 	}}
 	h := frontend.New(
-		frontend.Node("a"), frontend.Settings(held{snapshotOf(t, strings.Replace(tree, `"Idempotent": true`, `"Idempotent": false`, 1))}),
+		frontend.Node("a"), frontend.Settings(fixedSettings{snapshotOf(t, strings.Replace(tree, `"Idempotent": true`, `"Idempotent": false`, 1))}),
 		frontend.Members(twoGates()), frontend.WithPeers(s), frontend.Nodes(home),
 	).Handler()
 
@@ -58,26 +58,27 @@
 	return w
 }
 
-// A link to the home of a key was cut for a moment, and the node that had not reached it
-// told all others that it suspects the home. The home ran the upload and answered well,
-// but no entry waited any more: their callers got 503 and unknown. The log has a 301 of
-// the home, a 403 with "context canceled" within 100 ms, and a 405 of the call after it.
-func TestASuspicionDoesNotEndTheWaitForAHome(t *testing.T) {
+// A brief failure of one link makes one node suspect the home, and the suspicion spreads to all
+// nodes. If entry nodes canceled on suspicion, callers would get 503 and "unknown" for uploads
+// that the home completes. The log then shows event 301 for the home, event 403 with "context
+// canceled" within 100 ms, and event 405 for the call.
+func TestEntryWaitsForSuspectedHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		assert.Equal(t, upload(t, membership.StateSuspect).Code, http.StatusOK)
 	})
 }
 
-// The home of a key is stopped as planned. It says that it left once it starts no more
-// keys, and its last answers come after that.
-func TestAHomeThatLeftIsStillWaitedFor(t *testing.T) {
+// A draining home announces that it left as soon as it starts no more keys, and sends its last
+// answers after that.
+func TestEntryWaitsForHomeThatLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		assert.Equal(t, upload(t, membership.StateLeft).Code, http.StatusOK)
 	})
 }
 
-// A home that is held for dead may keep its connection open; nobody waits for it.
-func TestNobodyWaitsForADeadHome(t *testing.T) {
+// The connection to a home that is considered failed may stay open. The entry node must not
+// wait for its answer.
+func TestEntryDoesNotWaitForFailedHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		assert.Equal(t, upload(t, membership.StateDead).Code, http.StatusServiceUnavailable)
@@ -85,15 +86,16 @@
 	})
 }
 
-// A key that names a home which takes no more keys has no other; its caller must hear so at once.
-func TestAKeyOfALeavingHomeIsRefusedAtOnce(t *testing.T) {
+// A key that names a draining home can't run at another home, so the caller must get the
+// refusal without a delay.
+func TestKeyOfDrainingHomeIsRejectedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		home := &believed{}
+		home := &homeView{}
 		home.state.Store(uint32(membership.StateAlive))
 
-		s := &scripted{answer: refuses(once.ErrLeaving, call.RanUnknown)}
+		s := &fakeGates{answer: refuseWith(once.ErrLeaving, call.RanUnknown)}
 		h := frontend.New(
-			frontend.Node("a"), frontend.Settings(held{snapshotOf(t, strings.Replace(tree, `"Idempotent": true`, `"Idempotent": false`, 1))}),
+			frontend.Node("a"), frontend.Settings(fixedSettings{snapshotOf(t, strings.Replace(tree, `"Idempotent": true`, `"Idempotent": false`, 1))}),
 			frontend.Members(twoGates()), frontend.WithPeers(s), frontend.Nodes(home),
 		).Handler()
 
--- a/internal/frontend/once.go
+++ b/internal/frontend/once.go
@@ -20,16 +20,17 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// MethodOnce is the peer method by which a call gets to the home of its key.
+// MethodOnce is the peer method that forwards a call to the home of its key.
 const MethodOnce = "Caller.Once"
 
-// Errors of a keyed call at its entry.
+// Errors that the entry node reports for calls with an idempotency key.
 var (
-	ErrNoHome     = errs.New("once.no_home", http.StatusServiceUnavailable, "no node is the home of this key's shard now")
-	ErrStoodStill = errs.New("once.stood_still", http.StatusServiceUnavailable, "this node stood still and can't tell how old the request is")
+	ErrNoHome  = errs.New("once.no_home", http.StatusServiceUnavailable, "no node is the home of this key's shard now")
+	ErrStalled = errs.New("once.stood_still", http.StatusServiceUnavailable, "this node stood still and can't tell how old the request is")
 )
 
-// once takes a call that must not run twice to the home of its key.
+// once routes a call that must not run twice to the home of its key. A call without a key gets
+// one whose home is this node.
 func (e *Entry) once(next call.Handler) call.Handler {
 	return func(ctx context.Context, c call.Call) (call.Answer, error) {
 		if c.Idempotent {
@@ -40,41 +41,40 @@
 			c = c.WithKey(e.options.Home.Mint())
 		}
 
-		a, err := e.atHome(ctx, c, next)
+		a, err := e.routeToHome(ctx, c, next)
 		if err != nil {
-			return call.Answer{}, keyed(c.Key, err)
+			return call.Answer{}, withKey(c.Key, err)
 		}
 
 		return a.WithKey(c.Key), nil
 	}
 }
 
-// handovers bounds how often a call follows an opaque key to its next home, and
-// handoverPause how long a home takes to hand its keys over.
+// maxHomes limits how many homes are tried for a call with an opaque key, a key that names no
+// home. handoverPause is the time that a draining home needs to hand over its keys.
 const (
-	handovers     = 20
+	maxHomes      = 20
 	handoverPause = 50 * time.Millisecond
 )
 
-// atHome takes the call to the home of its key. A home that has just handed its
-// opaque keys over says so; the call then goes on to the next one. Nothing was
-// started before.
-func (e *Entry) atHome(ctx context.Context, c call.Call, next call.Handler) (call.Answer, error) {
+// routeToHome sends the call to the home of its key. A home that has handed over its opaque
+// keys rejects the call without running it, so the call can safely go to the next home.
+func (e *Entry) routeToHome(ctx context.Context, c call.Call, next call.Handler) (call.Answer, error) {
 	if err := key.Check(c.Key); err != nil {
 		return call.Answer{}, call.Refuse(err, call.RanUnknown, 0).WithNotForwarded()
 	}
 
 	for n := 1; ; n++ {
-		a, err := e.tryHome(ctx, c, next)
-		if n == handovers || !e.moved(ctx, c, err) {
+		a, err := e.callHome(ctx, c, next)
+		if n == maxHomes || !e.mayTryNextHome(ctx, c, err) {
 			return a, err
 		}
 	}
 }
 
-// moved reports whether the call may go to another home than the one that did
-// not take it. A key that names its home has no other.
-func (e *Entry) moved(ctx context.Context, c call.Call, err error) bool {
+// mayTryNextHome reports whether the call may go to another home after a home rejected it. A
+// key that names its home has no other home.
+func (e *Entry) mayTryNextHome(ctx context.Context, c call.Call, err error) bool {
 	if _, named := key.Parse(c.Key); named {
 		return false
 	}
@@ -84,26 +84,26 @@
 		idle.For(ctx, handoverPause)
 
 		return ctx.Err() == nil
-	case errors.Is(err, once.ErrNotHome), errors.Is(err, once.ErrUnreachable) && notForwarded(err):
+	case errors.Is(err, once.ErrNotHome), errors.Is(err, once.ErrUnreachable) && wasNotForwarded(err):
 		return e.options.Shards.Renew(ctx, c.Key)
 	}
 
 	return false
 }
 
-func notForwarded(err error) bool {
+func wasNotForwarded(err error) bool {
 	var r *call.Refusal
 
 	return errors.As(err, &r) && r.NotForwarded
 }
 
-func (e *Entry) tryHome(ctx context.Context, c call.Call, next call.Handler) (call.Answer, error) {
-	node, life, err := e.homeOf(c)
+func (e *Entry) callHome(ctx context.Context, c call.Call, next call.Handler) (call.Answer, error) {
+	node, bootID, err := e.homeOf(c)
 	if err != nil {
 		return call.Answer{}, err
 	}
 
-	c = c.WithBootID(life)
+	c = c.WithBootID(bootID)
 
 	if node == e.options.Node {
 		return next(ctx, c)
@@ -112,17 +112,17 @@
 	return e.forward(ctx, node, c)
 }
 
-// homeOf returns the node of a key's home, and of an opaque key its life. A key that
-// names its home tells its age by its generation; an opaque one does not, so that one
-// which is read just after a standstill, and may be old, is not forwarded. The
-// owner is looked up before the watchdog: a call that stood still after the lookup
-// goes to that life or to nobody.
-func (e *Entry) homeOf(c call.Call) (node, life string, err error) {
+// homeOf returns the node and the boot ID of a key's home. The generation in a key that names
+// its home shows the age of the key. An opaque key has none, so a call with an opaque key that
+// is read just after a process stall, and may be old, is rejected. The owner is looked up
+// before the stall check, so a call that stalls after the lookup can only run at the process
+// with that boot ID.
+func (e *Entry) homeOf(c call.Call) (node, bootID string, err error) {
 	if k, named := key.Parse(c.Key); named {
 		return k.Home.Node, k.Home.BootID, nil
 	}
 
-	node, life, ok := e.options.Shards.Owner(c.Key)
+	node, bootID, ok := e.options.Shards.Owner(c.Key)
 	if !ok {
 		e.options.Shards.Nudge()
 
@@ -132,14 +132,14 @@
 	if e.options.Standstill.Resumed() {
 		e.options.Recorder.Record(event.EntryStoodStill, timeline.Entry{Call: c.ID, Key: c.Key})
 
-		return "", "", call.Refuse(ErrStoodStill, call.RanUnknown, stall.Settle).WithNotForwarded()
+		return "", "", call.Refuse(ErrStalled, call.RanUnknown, stall.Settle).WithNotForwarded()
 	}
 
-	return node, life, nil
+	return node, bootID, nil
 }
 
-// start runs the call as the home of its key.
-func (e *Entry) start(next call.Handler) call.Handler {
+// runAtHome runs the call at this node as the home of its key.
+func (e *Entry) runAtHome(next call.Handler) call.Handler {
 	return func(ctx context.Context, c call.Call) (call.Answer, error) {
 		if c.Idempotent {
 			return next(ctx, c)
@@ -149,9 +149,10 @@
 	}
 }
 
-// keyed makes sure that only the home of a key says not-run of it. Any other
-// stage knows of this attempt alone; an earlier one may have run.
-func keyed(text string, err error) error {
+// withKey adds the key to a refusal. Only the home of a key may report "not run". Every other
+// stage knows only the current attempt, and an earlier one may have run, so its "not run"
+// becomes "not forwarded".
+func withKey(text string, err error) error {
 	var r *call.Refusal
 	if !errors.As(err, &r) {
 		r = call.Refuse(err, call.RanUnknown, time.Second)
@@ -169,9 +170,8 @@
 	return out
 }
 
-// ofKey does the same for a call that was turned away before its route was
-// known.
-func ofKey(req *http.Request, r *call.Refusal) *call.Refusal {
+// withRequestKey does the same as withKey for a call that was rejected before it was decoded.
+func withRequestKey(req *http.Request, r *call.Refusal) *call.Refusal {
 	text := req.Header.Get(HeaderKey)
 	if text == "" || r.Key != "" {
 		return r
@@ -179,24 +179,23 @@
 
 	var out *call.Refusal
 
-	_ = errors.As(keyed(text, r), &out)
+	_ = errors.As(withKey(text, r), &out)
 
 	return out
 }
 
-// forward sends the call to the home of its key. It looks at beliefs only to
-// answer at once where nobody will: a wrong one costs an answer, never a second
-// run.
+// forward sends the call to the home of its key. It uses the membership view only to fail fast
+// when the home is not alive: a wrong view can cost an answer but never causes a second run.
 func (e *Entry) forward(ctx context.Context, node string, c call.Call) (call.Answer, error) {
 	home, ok := e.options.Nodes.Find(node)
 	if !ok || home.State != membership.StateAlive {
-		return call.Answer{}, e.notForwarded(node, c, nil)
+		return call.Answer{}, e.refuseNotForwarded(node, c, nil)
 	}
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
-	go e.watch(ctx, cancel, node)
+	go e.cancelIfHomeFails(ctx, cancel, node)
 
 	deadline, _ := ctx.Deadline()
 
@@ -206,7 +205,7 @@
 
 	switch {
 	case errors.Is(err, peer.ErrUnreachable):
-		return call.Answer{}, e.notForwarded(node, c, err)
+		return call.Answer{}, e.refuseNotForwarded(node, c, err)
 	case errors.Is(context.Cause(ctx), ErrGivenUp):
 		return call.Answer{}, call.Refuse(ErrGivenUp.Wrap(err), call.RanUnknown, time.Second)
 	case err != nil:
@@ -222,20 +221,20 @@
 	return *reply.Answer, nil
 }
 
-// watch ends the wait for a home that is held for dead: its connection may stay open, and
-// its caller would wait until the deadline. A link that says nothing is given up by the
-// peer client, by what this node sees itself; that another one suspects the home is no
-// reason: just after a cut the word of one node that had not reached it went round, and
-// all entries gave up uploads that the home ran, and told their callers unknown. A home that
-// left by itself answers what it has started before it closes its connections.
-func (e *Entry) watch(ctx context.Context, cancel context.CancelFunc, node string) {
-	const pause = 100 * time.Millisecond
+// cancelIfHomeFails cancels the wait for a home that is considered failed: its connection may
+// stay open, and the caller would wait until the deadline. A suspicion does not cancel the
+// wait: after a brief network failure the suspicion of one node spreads to all entry nodes,
+// which would report "unknown" for calls that the home completes. The peer client itself
+// closes links that are silent. A home that leaves the fleet answers the calls it has started
+// before it closes its connections.
+func (e *Entry) cancelIfHomeFails(ctx context.Context, cancel context.CancelFunc, node string) {
+	const interval = 100 * time.Millisecond
 
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 
 		if r, ok := e.options.Nodes.Find(node); !ok || r.State == membership.StateDead {
@@ -246,13 +245,13 @@
 	}
 }
 
-func (e *Entry) notForwarded(node string, c call.Call, cause error) error {
+func (e *Entry) refuseNotForwarded(node string, c call.Call, cause error) error {
 	e.options.Recorder.Record(event.KeyHomeLost, timeline.Entry{Call: c.ID, Key: c.Key, Peer: node})
 
 	return call.Refuse(once.ErrUnreachable.With("%s", node).Wrap(cause), call.RanUnknown, time.Second).WithNotForwarded()
 }
 
-// ServeOnce takes a call that another node forwarded to the home of its key.
+// ServeOnce handles a call that another node forwarded to this node as the home of the key.
 func (e *Entry) ServeOnce(ctx context.Context, c call.Call) (gate.Reply, error) {
 	a, err := e.serveOnce(ctx, c)
 	if err == nil {
@@ -261,12 +260,13 @@
 
 	var r *call.Refusal
 
-	_ = errors.As(keyed(c.Key, err), &r)
+	_ = errors.As(withKey(c.Key, err), &r)
 
 	return gate.Reply{Refusal: r}, nil
 }
 
-// serveOnce uses the settings of the home: they say how often it may try.
+// serveOnce matches the route in the settings of the home, which determine the number of
+// attempts that the home may make.
 func (e *Entry) serveOnce(ctx context.Context, c call.Call) (call.Answer, error) {
 	snapshot := e.options.Settings.Load()
 	if snapshot == nil {
@@ -284,7 +284,7 @@
 	}
 
 	c = c.WithRoute(route, snapshot.Version().Number)
-	c.Idempotent = false // the entry took it for one that must not run twice
+	c.Idempotent = false // the entry node forwards only calls that must not run twice
 
 	return e.home(ctx, c)
 }
--- a/internal/frontend/options.go
+++ b/internal/frontend/options.go
@@ -15,30 +15,30 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Snapshots gives the settings in force.
+// Snapshots provides the active settings.
 type Snapshots interface {
 	Load() *settings.Snapshot
 }
 
-// Serving gives the nodes whose backend server takes calls of a service.
+// Serving lists the nodes whose backend server accepts calls of a service.
 type Serving interface {
 	Serving(service string) []membership.Record
 }
 
-// Finder gives the record of a node.
+// Finder returns the member record of a node.
 type Finder interface {
 	Find(id string) (membership.Record, bool)
 }
 
-// Owners gives the process that is the home of an opaque key.
+// Owners maps an opaque key to its home, the process that owns the key's shard.
 type Owners interface {
-	Owner(text string) (node, life string, ok bool)
-	// Nudge tells that a call found no owner.
+	Owner(text string) (node, bootID string, ok bool)
+	// Nudge triggers a search for owners after a call found none.
 	Nudge()
-	// Refresh asks the node that was taken for the owner for a newer list.
+	// Refresh requests a newer list of owners from the node at the address.
 	Refresh(ctx context.Context, address string)
-	// Renew asks whoever would follow the owner of a key, and reports whether there
-	// is a newer list.
+	// Renew requests a newer list of owners from the node that is next in line to own the
+	// key, and reports whether there is one.
 	Renew(ctx context.Context, text string) bool
 }
 
@@ -50,20 +50,20 @@
 
 func (noOwners) Renew(context.Context, string) bool { return false }
 
-func (noOwners) Owner(string) (node, life string, ok bool) { return "", "", false }
+func (noOwners) Owner(string) (node, bootID string, ok bool) { return "", "", false }
 
 // Peers sends messages to other nodes.
 type Peers interface {
 	Do(ctx context.Context, address string, lane peer.Lane, method string, in, out any) error
 }
 
-// Intake says what a node that is being stopped still takes.
+// Intake decides which calls a draining node still accepts.
 type Intake interface {
-	// Takes reports whether a call is taken that may last until its time limit.
+	// Takes reports whether a call that may last until the limit is accepted.
 	Takes(limit time.Time) bool
 }
 
-// Options of an entry.
+// Options configures an Entry.
 type Options struct {
 	Node     string
 	Settings Snapshots
@@ -75,7 +75,7 @@
 	Home     *once.Home
 	Nodes    Finder
 	Shards   Owners
-	// Standstill notices when this process stands still.
+	// Standstill detects stalls of this process.
 	Standstill *stall.Watchdog
 }
 
@@ -102,35 +102,35 @@
 	return o
 }
 
-// Node names this node.
+// Node sets the ID of this node.
 func Node(id string) Option { return func(o *Options) { o.Node = id } }
 
-// Settings sets where the settings in force are.
+// Settings sets the source of the active settings.
 func Settings(s Snapshots) Option { return func(o *Options) { o.Settings = s } }
 
-// Members sets who knows the nodes.
+// Members sets the list of nodes that serve each service.
 func Members(m Serving) Option { return func(o *Options) { o.Members = m } }
 
-// WithPeers sets who sends messages.
+// WithPeers sets the client that sends messages to other nodes.
 func WithPeers(p Peers) Option { return func(o *Options) { o.Peers = p } }
 
-// Selector sets who picks a gate.
+// Selector sets the selector of the gate for each attempt.
 func Selector(s *selection.Selector) Option { return func(o *Options) { o.Selector = s } }
 
-// Recorder sets where events go.
+// Recorder sets the recorder of events.
 func Recorder(r *timeline.Recorder) Option { return func(o *Options) { o.Recorder = r } }
 
-// WithIntake sets what says which calls are taken.
+// WithIntake sets the check that a draining node applies to new calls.
 func WithIntake(i Intake) Option { return func(o *Options) { o.Intake = i } }
 
-// Home sets the home of the keys that this process starts.
+// Home sets the store of the keys whose home is this process.
 func Home(h *once.Home) Option { return func(o *Options) { o.Home = h } }
 
-// Nodes sets who finds the homes of other keys.
+// Nodes sets the lookup of the member records of other homes.
 func Nodes(f Finder) Option { return func(o *Options) { o.Nodes = f } }
 
-// Shards sets who knows the homes of opaque keys.
+// Shards sets the lookup of the homes of opaque keys.
 func Shards(s Owners) Option { return func(o *Options) { o.Shards = s } }
 
-// Standstill sets what notices when this process stands still.
+// Standstill sets the detector of stalls of this process.
 func Standstill(w *stall.Watchdog) Option { return func(o *Options) { o.Standstill = w } }
--- a/internal/frontend/path_test.go
+++ b/internal/frontend/path_test.go
@@ -31,27 +31,27 @@
   }}
 }`
 
-// held is settings that do not change.
-type held struct{ snapshot *settings.Snapshot }
+// fixedSettings provides settings that do not change.
+type fixedSettings struct{ snapshot *settings.Snapshot }
 
-func (h held) Load() *settings.Snapshot { return h.snapshot }
+func (f fixedSettings) Load() *settings.Snapshot { return f.snapshot }
 
-// fixed is members that do not change.
-type fixed []membership.Record
+// fixedMembers is a list of member records that does not change.
+type fixedMembers []membership.Record
 
-func (f fixed) Serving(string) []membership.Record { return f }
+func (f fixedMembers) Serving(string) []membership.Record { return f }
 
-// answers is a backend server that takes no time.
-type answers struct{}
+// instantBackend is a backend server that answers immediately.
+type instantBackend struct{}
 
-func (answers) Run(_ context.Context, c call.Call) (call.Answer, error) {
+func (instantBackend) Run(_ context.Context, c call.Call) (call.Answer, error) {
 	return call.Answer{
 		Status: http.StatusOK, Header: []call.Field{{Name: "Content-Type", Value: "application/json"}},
 		Body: []byte(`{"Name":"` + c.URI + `"}`), Ran: call.RanYes,
 	}, nil
 }
 
-// newPath is an entry and a gate, joined by real connections on loopback.
+// newPath returns the handler of an entry node that reaches a gate over loopback connections.
 func newPath(tb testing.TB) http.Handler {
 	tb.Helper()
 
@@ -59,7 +59,7 @@
 	assert.NilError(tb, err)
 
 	server, client := peer.NewServer(), peer.NewClient()
-	g := gate.New("derby-browse-1", answers{}, admission.New(admission.Slots(100)))
+	g := gate.New("derby-browse-1", instantBackend{}, admission.New(admission.Slots(100)))
 	server.Handle(gate.MethodRun, peer.Typed(g.Serve))
 
 	go func() { _ = server.Serve(l) }()
@@ -71,8 +71,8 @@
 	})
 
 	return frontend.New(
-		frontend.Node("derby-browse-2"), frontend.Settings(held{newSnapshot(tb)}), frontend.WithPeers(client),
-		frontend.Members(fixed{{
+		frontend.Node("derby-browse-2"), frontend.Settings(fixedSettings{newSnapshot(tb)}), frontend.WithPeers(client),
+		frontend.Members(fixedMembers{{
 			ID: "derby-browse-1", PeerAddress: l.Addr().String(), State: membership.StateAlive,
 			Upstream: membership.Upstream{Service: "browse", State: membership.UpstreamReady, Slots: 100},
 		}}),
@@ -112,28 +112,27 @@
 	assert.Equal(tb, w.Code, http.StatusOK)
 }
 
-// The bound is on both ends of the path together, with the request and the
-// recorder of the test. What a call leaves to collect is paid by all calls.
-func TestACallAllocatesWithinItsBound(t *testing.T) {
+// Every allocation of a call adds to the garbage collection that slows all calls. The bound
+// covers the entry node, the gate, and the request and response recorder of the test.
+func TestCallStaysWithinAllocationLimit(t *testing.T) {
 	h := newPath(t)
 	open(t, h)
 
 	n := testing.AllocsPerRun(500, func() { open(t, h) })
 	t.Logf("%.0f allocations", n)
-	assert.Assert(t, n <= mostAllocations, "%.0f allocations", n)
+	assert.Assert(t, n <= maxAllocations, "%.0f allocations", n)
 }
 
-const mostAllocations = 135
+const maxAllocations = 135
 
-// BenchmarkCall reports processor time a call too: it says what a call costs
-// also on a machine that does other work.
+// BenchmarkCall also reports CPU time per call, which stays meaningful on a busy machine.
 func BenchmarkCall(b *testing.B) {
 	h := newPath(b)
 
 	b.Run("one at a time", func(b *testing.B) {
 		b.ReportAllocs()
 
-		start := processorTime(b)
+		start := cpuTime(b)
 
 		for b.Loop() {
 			open(b, h)
@@ -145,7 +144,7 @@
 		b.ReportAllocs()
 		b.SetParallelism(4)
 
-		start := processorTime(b)
+		start := cpuTime(b)
 
 		b.RunParallel(func(pb *testing.PB) {
 			for pb.Next() {
@@ -156,7 +155,7 @@
 	})
 }
 
-func processorTime(b *testing.B) time.Duration {
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 
 	var u syscall.Rusage
@@ -169,7 +168,7 @@
 func report(b *testing.B, start time.Duration) {
 	b.Helper()
 
-	used := processorTime(b) - start
+	used := cpuTime(b) - start
 	b.ReportMetric(float64(used.Microseconds())/float64(b.N), "cpu-us/op")
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
 }
--- a/internal/frontend/reasons_test.go
+++ b/internal/frontend/reasons_test.go
@@ -15,19 +15,19 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Callers act on the ID and the status; the page must name both as they are.
-func TestReasonsAreOnThePage(t *testing.T) {
+// Callers act on the error ID and the status code, so docs/CALLERS.md must list both.
+func TestCallersPageListsEveryReason(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CALLERS.md")
 	assert.NilError(t, err)
 
 	for _, e := range []*errs.Error{
-		frontend.ErrNoSettings, frontend.ErrLeaving, frontend.ErrNoRoute, frontend.ErrHeader, frontend.ErrBody, frontend.ErrNoUpstream,
-		frontend.ErrDeadline, frontend.ErrGivenUp, frontend.ErrCanceled, frontend.ErrCrossed,
+		frontend.ErrNoSettings, frontend.ErrDraining, frontend.ErrNoRoute, frontend.ErrHeader, frontend.ErrBody, frontend.ErrNoUpstream,
+		frontend.ErrDeadline, frontend.ErrGivenUp, frontend.ErrCanceled, frontend.ErrAnswerMismatch,
 		admission.ErrWait, admission.ErrFull, admission.ErrShare, admission.ErrDeadline, admission.ErrCanceled, admission.ErrClosed,
 		upstream.ErrNone, upstream.ErrUnreached, upstream.ErrShed, upstream.ErrNoAnswer, upstream.ErrTooLarge,
 		peer.ErrUnreachable, peer.ErrBroken,
 	} {
 		line := fmt.Sprintf("| `%s` | %d |", e.ID, e.Code)
-		assert.Assert(t, strings.Contains(string(page), line), "%s is not on the page", line)
+		assert.Assert(t, strings.Contains(string(page), line), "docs/CALLERS.md lacks %s", line)
 	}
 }
