--- a/internal/frontend/attempt.go
+++ b/internal/frontend/attempt.go
@@ -177,7 +177,7 @@
 }
 
 // refusalOf returns the refusal for an attempt that got no reply. A context canceled with
-// ErrGivenUp means that this node is stopping while the caller still waits.
+// ErrNodeStopped means that this node is stopping while the caller still waits.
 func refusalOf(ctx context.Context, err error) error {
 	ran := call.RanUnknown
 	if errors.Is(err, peer.ErrUnreachable) || errors.Is(err, peer.ErrFrameTooLarge) {
@@ -185,10 +185,10 @@
 	}
 
 	switch {
-	case errors.Is(context.Cause(ctx), ErrGivenUp) && ran == call.RanNo:
+	case errors.Is(context.Cause(ctx), ErrNodeStopped) && ran == call.RanNo:
 		err = ErrDraining.Wrap(err)
-	case errors.Is(context.Cause(ctx), ErrGivenUp):
-		err = ErrGivenUp.Wrap(err)
+	case errors.Is(context.Cause(ctx), ErrNodeStopped):
+		err = ErrNodeStopped.Wrap(err)
 	case errors.Is(ctx.Err(), context.Canceled):
 		err = ErrCanceled.Wrap(err)
 	case ctx.Err() != nil:
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -37,7 +37,7 @@
 	ErrBody           = errs.New("entry.body", http.StatusRequestEntityTooLarge, "request body over the route's limit")
 	ErrNoUpstream     = errs.New("entry.no_upstream", http.StatusServiceUnavailable, "no backend server of the service is ready")
 	ErrDraining       = errs.New("entry.leaving", http.StatusServiceUnavailable, "this node is leaving")
-	ErrGivenUp        = errs.New("entry.given_up", http.StatusBadGateway, "this node ended before the answer came")
+	ErrNodeStopped    = errs.New("entry.given_up", http.StatusBadGateway, "this node ended before the answer came")
 	ErrDeadline       = errs.New("entry.deadline", http.StatusGatewayTimeout, "no answer came before the deadline")
 	ErrCanceled       = errs.New("entry.canceled", admission.StatusClientClosed, "the caller went away")
 	ErrAnswerMismatch = errs.New("entry.crossed", http.StatusBadGateway, "the answer belongs to another call")
--- a/internal/frontend/once.go
+++ b/internal/frontend/once.go
@@ -206,8 +206,8 @@
 	switch {
 	case errors.Is(err, peer.ErrUnreachable):
 		return call.Answer{}, e.refuseNotForwarded(node, c, err)
-	case errors.Is(context.Cause(ctx), ErrGivenUp):
-		return call.Answer{}, call.Refuse(ErrGivenUp.Wrap(err), call.RanUnknown, time.Second)
+	case errors.Is(context.Cause(ctx), ErrNodeStopped):
+		return call.Answer{}, call.Refuse(ErrNodeStopped.Wrap(err), call.RanUnknown, time.Second)
 	case err != nil:
 		return call.Answer{}, call.Refuse(once.ErrUnreachable.With("no answer from %s", node).Wrap(err), call.RanUnknown, time.Second)
 	case reply.Refusal != nil:
--- a/internal/frontend/reasons_test.go
+++ b/internal/frontend/reasons_test.go
@@ -22,7 +22,7 @@
 
 	for _, e := range []*errs.Error{
 		frontend.ErrNoSettings, frontend.ErrDraining, frontend.ErrNoRoute, frontend.ErrHeader, frontend.ErrBody, frontend.ErrNoUpstream,
-		frontend.ErrDeadline, frontend.ErrGivenUp, frontend.ErrCanceled, frontend.ErrAnswerMismatch,
+		frontend.ErrDeadline, frontend.ErrNodeStopped, frontend.ErrCanceled, frontend.ErrAnswerMismatch,
 		admission.ErrWait, admission.ErrFull, admission.ErrShare, admission.ErrDeadline, admission.ErrCanceled, admission.ErrClosed,
 		upstream.ErrNone, upstream.ErrUnreached, upstream.ErrShed, upstream.ErrNoAnswer, upstream.ErrTooLarge,
 		peer.ErrUnreachable, peer.ErrBroken,
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -147,7 +147,7 @@
 	defer cancel()
 
 	until(keys, n.home.Running)
-	n.giveUp(frontend.ErrGivenUp)
+	n.giveUp(frontend.ErrNodeStopped)
 	until(ctx, n.running)
 }
 
