--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -282,8 +282,8 @@
 	return err
 }
 
-// TurnedAway is the JSON body of the response to a rejected or failed call.
-type TurnedAway struct {
+// Rejection is the JSON body of the response to a rejected or failed call.
+type Rejection struct {
 	ID           string   `json:"ID"`
 	Code         int      `json:"Code"`
 	Detail       string   `json:"Detail"`
@@ -325,7 +325,7 @@
 		h.Set("Retry-After", strconv.FormatInt(int64((wait+time.Second-1)/time.Second), 10))
 	}
 
-	return c.JSON(r.Fault.Code, TurnedAway{
+	return c.JSON(r.Fault.Code, Rejection{
 		ID: r.Fault.ID, Code: r.Fault.Code, Detail: r.Fault.Detail, Call: id, Node: e.options.Node,
 		Ran: r.Ran, RetryAfterMs: wait.Milliseconds(), Attempts: r.Attempts,
 		Key: r.Key, NotForwarded: r.NotForwarded,
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -194,7 +194,7 @@
 	status int
 	header http.Header
 	answer backend.Answer
-	away   frontend.TurnedAway
+	away   frontend.Rejection
 }
 
 // send sends a request through a node.
--- a/internal/once/caller_test.go
+++ b/internal/once/caller_test.go
@@ -86,7 +86,7 @@
 	}
 
 	if rec.Code != http.StatusOK {
-		var t frontend.TurnedAway
+		var t frontend.Rejection
 		if json.Unmarshal(rec.Body.Bytes(), &t) != nil || t.Ran != ran {
 			w.violation("key %s: malformed refusal %s", key, rec.Body)
 		}
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -278,7 +278,7 @@
 	ran := call.Ran(resp.Header.Get(frontend.HeaderRan))
 
 	if resp.StatusCode != http.StatusOK {
-		var t frontend.TurnedAway
+		var t frontend.Rejection
 
 		_ = json.Unmarshal(data, &t)
 
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -257,7 +257,7 @@
 	r.learn(node, resp.Header)
 
 	if o.status != http.StatusOK {
-		var t frontend.TurnedAway
+		var t frontend.Rejection
 		if json.Unmarshal(data, &t) == nil {
 			o.reason = t.ID
 		}
