--- a/internal/frontend/once.go
+++ b/internal/frontend/once.go
@@ -129,7 +129,7 @@
 		return "", "", call.Refuse(ErrNoHome, call.RanUnknown, time.Second).WithNotForwarded()
 	}
 
-	if e.options.Standstill.Resumed() {
+	if e.options.Stall.Resumed() {
 		e.options.Recorder.Record(event.EntryStoodStill, timeline.Entry{Call: c.ID, Key: c.Key})
 
 		return "", "", call.Refuse(ErrStalled, call.RanUnknown, stall.Settle).WithNotForwarded()
--- a/internal/frontend/options.go
+++ b/internal/frontend/options.go
@@ -75,8 +75,8 @@
 	Home     *once.Home
 	Nodes    Finder
 	Shards   Owners
-	// Standstill detects stalls of this process.
-	Standstill *stall.Watchdog
+	// Stall detects stalls of this process.
+	Stall *stall.Watchdog
 }
 
 // Option sets an option.
@@ -89,7 +89,7 @@
 		Intake:   draining.New(),
 		Shards:   noOwners{},
 
-		Standstill: stall.New(),
+		Stall: stall.New(),
 	}
 	for _, opt := range opts {
 		opt(&o)
@@ -132,5 +132,5 @@
 // Shards sets the lookup of the homes of opaque keys.
 func Shards(s Owners) Option { return func(o *Options) { o.Shards = s } }
 
-// Standstill sets the detector of stalls of this process.
-func Standstill(w *stall.Watchdog) Option { return func(o *Options) { o.Standstill = w } }
+// Stall sets the detector of stalls of this process.
+func Stall(w *stall.Watchdog) Option { return func(o *Options) { o.Stall = w } }
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -33,7 +33,7 @@
 		frontend.Home(n.home),
 		frontend.Nodes(n.table),
 		frontend.Shards(n.shards),
-		frontend.Standstill(n.stall),
+		frontend.Stall(n.stall),
 	)
 }
 
