--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -5,7 +5,7 @@
 // keyed call to its home, send attempts to gates, write the answer. A gate is the node on a
 // backend server's host. The home of an idempotency key is the node that owns the key.
 //
-//	entry := frontend.New(frontend.Settings(holder), frontend.Members(table), frontend.Peers(client))
+//	entry := frontend.New(frontend.Settings(holder), frontend.Members(table), frontend.WithPeers(client))
 //	http.Serve(listener, entry.Handler())
 package frontend
 
--- a/internal/frontend/once.go
+++ b/internal/frontend/once.go
@@ -151,7 +151,7 @@
 
 // withKey adds the key to a refusal. Only the home of a key may report "not run". Every other
 // stage knows only the current attempt, and an earlier one may have run, so its "not run"
-// becomes "not forwarded".
+// becomes "unknown", marked as not forwarded.
 func withKey(text string, err error) error {
 	var r *call.Refusal
 	if !errors.As(err, &r) {
@@ -170,7 +170,7 @@
 	return out
 }
 
-// withRequestKey does the same as withKey for a call that was rejected before it was decoded.
+// withRequestKey does the same as withKey for a call that was rejected before the once stage.
 func withRequestKey(req *http.Request, r *call.Refusal) *call.Refusal {
 	text := req.Header.Get(HeaderKey)
 	if text == "" || r.Key != "" {
