--- a/internal/explain/causes.go
+++ b/internal/explain/causes.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	// window is what the second table adds up: shorter than most troubles, longer than
-	// a caller waits.
+	// window is the time that a row of the second table covers: shorter than most outages,
+	// longer than callers wait.
 	window = 2 * time.Second
-	// mostCauses is how many rows the table of causes has at the most.
-	mostCauses = 24
+	// maxCauses is the maximum number of rows in the table of causes.
+	maxCauses = 24
 )
 
-// cause is why calls of a route ended without success.
+// cause is the route, status and reason that failed calls have in common.
 type cause struct {
 	route, status, reason string
 }
 
-// loss is what a cause took.
-type loss struct {
+// causeStats sums up the failed calls of a cause: their number, their total duration and the
+// total number of nodes contacted.
+type causeStats struct {
 	cause
 
-	calls int
-	took  time.Duration
-	asked int
+	calls     int
+	took      time.Duration
+	contacted int
 }
 
-// Causes writes what calls were lost to, over the lines of the nodes that callers reached:
-// by route and cause, and by time. Lines of failures are no sample, so the counts are
-// whole as long as no line was left out.
+// Causes writes two tables of failed calls, by route and cause and by time, from the logs of
+// the nodes that callers reached. Nodes log every failed call, not a sample, so the counts are
+// complete unless log lines were dropped.
 func Causes(out io.Writer, logs ...io.Reader) error {
 	all, err := merge(logs)
 	if err != nil {
@@ -45,73 +46,74 @@
 
 	failed := slices.DeleteFunc(all, func(l line) bool { return l.Number != event.CallFailed.Number })
 
-	if err := writeLosses(out, failed); err != nil {
+	if err := writeCauses(out, failed); err != nil {
 		return err
 	}
 
 	return writeWindows(out, failed)
 }
 
-// outcome is how a dispatcher tells the end of a call.
-var outcome = regexp.MustCompile(`^status (\d+) route (\S*) ms (\d+) asked (\d+) sent \d+(?: waited \d+)?(?: reason (.*))?$`)
+// outcomePattern matches the detail of the event that the dispatcher records for a finished call.
+var outcomePattern = regexp.MustCompile(`^status (\d+) route (\S*) ms (\d+) asked (\d+) sent \d+(?: waited \d+)?(?: reason (.*))?$`)
 
-// varying are the parts of a reason that differ from call to call.
-var varying = regexp.MustCompile(`[0-9a-f.:]{7,}|\d+`)
+// variablePart matches the parts of a reason that differ between calls, such as addresses and IDs.
+var variablePart = regexp.MustCompile(`[0-9a-f.:]{7,}|\d+`)
 
-// longestReason keeps a row on one line.
-const longestReason = 70
+// maxReasonLen limits the length of a reason in bytes, so that a row fits on one line.
+const maxReasonLen = 70
 
-func (l line) loss() (loss, bool) {
-	m := outcome.FindStringSubmatch(l.Detail)
+// causeStats returns the cause and the figures of a failed call.
+func (l line) causeStats() (causeStats, bool) {
+	m := outcomePattern.FindStringSubmatch(l.Detail)
 	if m == nil {
-		return loss{}, false
+		return causeStats{}, false
 	}
 
-	took, asked := number(m[3]), number(m[4])
+	took, contacted := parseNumber(m[3]), parseNumber(m[4])
 
 	reason := m[5]
 	if reason == "" {
 		reason = "the backend server's own answer"
 	}
 
-	reason = varying.ReplaceAllString(reason, "N")
+	reason = variablePart.ReplaceAllString(reason, "N")
 
-	return loss{
-		cause: cause{route: m[2], status: m[1], reason: reason[:min(len(reason), longestReason)]},
-		calls: 1, took: time.Duration(took) * time.Millisecond, asked: asked,
+	return causeStats{
+		cause: cause{route: m[2], status: m[1], reason: reason[:min(len(reason), maxReasonLen)]},
+		calls: 1, took: time.Duration(took) * time.Millisecond, contacted: contacted,
 	}, true
 }
 
-// number reads digits; the expression has matched nothing else.
-func number(digits string) int {
-	n, _ := strconv.Atoi(digits) // more than an int holds is no time of a call
+// parseNumber parses a string that outcomePattern has matched as digits.
+func parseNumber(digits string) int {
+	n, _ := strconv.Atoi(digits) // no duration or count of a call overflows an int
 
 	return n
 }
 
-func writeLosses(out io.Writer, failed []line) error {
-	sums := map[cause]*loss{}
+func writeCauses(out io.Writer, failed []line) error {
+	sums := map[cause]*causeStats{}
 
 	for _, l := range failed {
-		x, ok := l.loss()
+		x, ok := l.causeStats()
 		if !ok {
 			continue
 		}
 
 		if sums[x.cause] == nil {
-			sums[x.cause] = &loss{cause: x.cause}
+			sums[x.cause] = &causeStats{cause: x.cause}
 		}
 
 		s := sums[x.cause]
-		s.calls, s.took, s.asked = s.calls+1, s.took+x.took, s.asked+x.asked
+		s.calls, s.took, s.contacted = s.calls+1, s.took+x.took, s.contacted+x.contacted
 	}
 
-	rows := make([]*loss, 0, len(sums))
+	rows := make([]*causeStats, 0, len(sums))
 	for _, s := range sums {
 		rows = append(rows, s)
 	}
 
-	slices.SortFunc(rows, func(a, b *loss) int {
+	slices.SortFunc(rows, func(a, b *causeStats) int {
 		return cmp.Or(cmp.Compare(b.calls, a.calls), cmp.Compare(a.route, b.route), cmp.Compare(a.status, b.status), cmp.Compare(a.reason, b.reason))
 	})
 
@@ -120,9 +122,9 @@
 		return err
 	}
 
-	for _, r := range rows[:min(len(rows), mostCauses)] {
+	for _, r := range rows[:min(len(rows), maxCauses)] {
 		if _, err := fmt.Fprintf(out, "%7d  %-12s %6s %8d %6.1f  %s\n",
-			r.calls, r.route, r.status, r.took.Milliseconds()/int64(r.calls), float64(r.asked)/float64(r.calls), r.reason); err != nil {
+			r.calls, r.route, r.status, r.took.Milliseconds()/int64(r.calls), float64(r.contacted)/float64(r.calls), r.reason); err != nil {
 			return err
 		}
 	}
@@ -130,23 +132,23 @@
 	return nil
 }
 
-// writeWindows writes how many calls were lost when, and to what most.
+// writeWindows writes the number of failed calls and the most frequent cause for each window.
 func writeWindows(out io.Writer, failed []line) error {
 	if _, err := fmt.Fprintf(out, "\nby %s from the first of them\n\n%7s %7s  %s\n", window, "second", "calls", "most of them"); err != nil {
 		return err
 	}
 
 	for i := 0; i < len(failed); {
-		in := func(l line) int { return int(l.Time.Sub(failed[0].Time) / window) }
+		windowOf := func(l line) int { return int(l.Time.Sub(failed[0].Time) / window) }
 		next := i
 
-		for next < len(failed) && in(failed[next]) == in(failed[i]) {
+		for next < len(failed) && windowOf(failed[next]) == windowOf(failed[i]) {
 			next++
 		}
 
-		most, count := commonest(failed[i:next])
+		most, count := mostFrequent(failed[i:next])
 		if _, err := fmt.Fprintf(out, "%7d %7d  %d %s %s %s\n",
-			in(failed[i])*int(window.Seconds()), next-i, count, most.route, most.status, most.reason); err != nil {
+			windowOf(failed[i])*int(window.Seconds()), next-i, count, most.route, most.status, most.reason); err != nil {
 			return err
 		}
 
@@ -156,11 +158,12 @@
 	return nil
 }
 
-func commonest(lines []line) (most cause, count int) {
+// mostFrequent returns the most frequent cause and its number of calls.
+func mostFrequent(lines []line) (most cause, count int) {
 	counts := map[cause]int{}
 
 	for _, l := range lines {
-		x, ok := l.loss()
+		x, ok := l.causeStats()
 		if !ok {
 			continue
 		}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,13 +1,12 @@
-// Package explain walks from the ID of a failed call to its cause, over the log lines
-// of the nodes that the call touched.
+// Package explain finds the cause of a failed call in the logs of the nodes.
 //
-// It prints what each node decided on the call and on the calls that its run made, in
-// the order of time, and what these nodes believed anew shortly before: a node or a
-// backend server that was avoided, a member that was suspected, a store that was lost.
+// Call prints, in order of time, the events of a call and of the calls nested in it, and then
+// the changes in the views of the nodes involved shortly before the call ended: for example a
+// backend server that was avoided, a member that was suspected, or a store that was unavailable.
 //
 //	err := explain.Call(os.Stdout, "9c41d07be2a35f68", logFiles...)
 //
-// Causes adds up what all calls without success were lost to, by route and by time.
+// Causes counts all failed calls by route and cause and by time.
 //
 //	err := explain.Causes(os.Stdout, logFiles...)
 package explain
@@ -26,21 +25,22 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// ErrUnknown means that no line speaks of the call.
+// ErrUnknown reports that no log line mentions the call.
 var ErrUnknown = errs.New("explain.unknown", http.StatusNotFound, "no line speaks of the call")
 
 const (
-	// before is how long before a call's last line beliefs count as its causes:
-	// suspicions need some seconds to be settled.
-	before = 5 * time.Second
-	// maxLine bounds a line; longer ones are not ours.
+	// viewPeriod is the time before a call's last event in which changes of view count as
+	// possible causes. A suspicion takes some seconds to be confirmed or refuted.
+	viewPeriod = 5 * time.Second
+	// maxLine is the maximum length of a log line in bytes. Nodes write no longer lines.
 	maxLine = 1 << 20
-	// firstCall and afterCalls are the numbers of events of single calls.
-	firstCall  = 400
-	afterCalls = 600
+	// Events of single calls have numbers from firstCallEvent up to, not including,
+	// endCallEvents.
+	firstCallEvent = 400
+	endCallEvents  = 600
 )
 
-// line is one line of a node's log. The first names are those of log/slog.
+// line is a line of a node's log. Time and Name have the JSON names that log/slog writes.
 type line struct {
 	Time   time.Time `json:"time"` //nolint:tagliatelle // as log/slog writes it
 	Name   string    `json:"msg"`  //nolint:tagliatelle // as log/slog writes it
@@ -49,60 +49,61 @@
 	Call   string    `json:"Call"`
 	Peer   string    `json:"Peer"`
 	Detail string    `json:"Detail"`
-	// Version of the settings by which the node decided.
+	// Version is the settings version that the node used.
 	Version uint64 `json:"Version"`
 }
 
-// Call writes the walk of a call.
+// Call writes the events of a call and the changes of view that may have caused its failure.
 func Call(out io.Writer, id string, logs ...io.Reader) error {
 	all, err := merge(logs)
 	if err != nil {
 		return err
 	}
 
-	own := slices.DeleteFunc(slices.Clone(all), func(l line) bool { return !l.of(id) })
-	if len(own) == 0 {
+	callLines := slices.DeleteFunc(slices.Clone(all), func(l line) bool { return !l.concerns(id) })
+	if len(callLines) == 0 {
 		return ErrUnknown.With("%s; lines of calls that went well are a sample", id)
 	}
 
-	return write(out, id, own, beliefs(all, own))
+	return write(out, id, callLines, viewChanges(all, callLines))
 }
 
-// of reports whether the line speaks of the call, or of a call that its run made.
-func (l line) of(id string) bool { return l.Call == id || strings.HasPrefix(l.Call, id+".") }
+// concerns reports whether the line is about the call or about a call nested in it.
+func (l line) concerns(id string) bool { return l.Call == id || strings.HasPrefix(l.Call, id+".") }
 
-// beliefs are what the touched nodes came to believe shortly before the call's end.
-func beliefs(all, own []line) []line {
-	touched := map[string]bool{}
-	for _, l := range own {
-		touched[l.Node] = true
-		touched[l.Peer] = true
+// viewChanges returns the changes of view at the involved nodes in the viewPeriod before the
+// call's last event.
+func viewChanges(all, callLines []line) []line {
+	involved := map[string]bool{}
+	for _, l := range callLines {
+		involved[l.Node] = true
+		involved[l.Peer] = true
 	}
 
-	last := own[len(own)-1].Time
+	last := callLines[len(callLines)-1].Time
 
 	return slices.DeleteFunc(slices.Clone(all), func(l line) bool {
-		call := l.Number >= firstCall && l.Number < afterCalls
+		call := l.Number >= firstCallEvent && l.Number < endCallEvents
 
-		return call || l.Number == 0 || !touched[l.Node] || l.Time.After(last) || l.Time.Before(last.Add(-before))
+		return call || l.Number == 0 || !involved[l.Node] || l.Time.After(last) || l.Time.Before(last.Add(-viewPeriod))
 	})
 }
 
-func write(out io.Writer, id string, own, around []line) error {
-	first := own[0].Time
+func write(out io.Writer, id string, callLines, changes []line) error {
+	first := callLines[0].Time
 
 	if _, err := fmt.Fprintf(out, "call %s\n", id); err != nil {
 		return err
 	}
 
-	if err := section(out, "what was decided on it", own, first); err != nil {
+	if err := writeSection(out, "what was decided on it", callLines, first); err != nil {
 		return err
 	}
 
-	return section(out, "what its nodes came to believe in the 5 s before", around, first)
+	return writeSection(out, "what its nodes came to believe in the 5 s before", changes, first)
 }
 
-func section(out io.Writer, title string, lines []line, first time.Time) error {
+func writeSection(out io.Writer, title string, lines []line, first time.Time) error {
 	if _, err := fmt.Fprintf(out, "\n%s\n", title); err != nil {
 		return err
 	}
@@ -140,7 +141,7 @@
 	return text
 }
 
-// merge returns the lines of all logs in the order of time.
+// merge returns the lines of all logs, sorted by time.
 func merge(logs []io.Reader) ([]line, error) {
 	var all []line
 
@@ -158,8 +159,8 @@
 	return all, nil
 }
 
-// read takes the lines that are a node's; whatever collects logs may put its own text
-// in front of them.
+// read returns the lines that a node wrote. Log collectors may put a prefix before the JSON
+// object of a line.
 func read(in io.Reader) ([]line, error) {
 	var out []line
 
@@ -176,7 +177,7 @@
 
 		var l line
 		if json.Unmarshal(text[start:], &l) != nil {
-			continue // another program's line
+			continue // not a line of a node
 		}
 
 		out = append(out, l)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -12,9 +12,9 @@
 	"github.com/pollencart/pollencart/internal/explain"
 )
 
-// A call was lost on a link into a failure domain that had just been cut off. The walk
-// shows where it went and what was found out about the link.
-func TestTheWalkOfACall(t *testing.T) {
+// The log is of a call that failed on a link into a failure domain that had just become
+// unreachable. The output must show the path of the call and the events about the link.
+func TestCallShowsPathAndCause(t *testing.T) {
 	log, err := os.Open("testdata/cut.log")
 	assert.NilError(t, err)
 
@@ -26,13 +26,13 @@
 	golden.Assert(t, out.String(), "cut.golden")
 }
 
-func TestAnUnknownCall(t *testing.T) {
+func TestCallWithoutLogLinesIsUnknown(t *testing.T) {
 	assert.ErrorIs(t, explain.Call(&bytes.Buffer{}, "x", strings.NewReader("no line\n{}\n")), explain.ErrUnknown)
 }
 
-// Many callers complain of the same minutes. The tables show which routes they called, what
-// became of their calls, and when.
-func TestWhatCallsWereLostTo(t *testing.T) {
+// The log has many failed calls within a few minutes. The tables must show their routes, causes
+// and times.
+func TestCausesCountsFailedCalls(t *testing.T) {
 	log, err := os.Open("testdata/losses.log")
 	assert.NilError(t, err)
 
