--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -1,8 +1,8 @@
-// Package operator speaks HTTP with operators: it serves the commands of the
-// program on any node, and is the client that the commands use.
+// Package operator is the control API: the HTTP server that every node runs for operators and for
+// the local backend server, and the client that the command-line program uses.
 //
 //	api := operator.New(operator.Acceptor(a), operator.Fleet(f))
-//	api.Register(echo)
+//	api.Register(router)
 //
 //	client := operator.NewClient("127.0.0.1:8001")
 //	status, err := client.Status(ctx)
@@ -23,19 +23,19 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Errors of the interface.
+// Errors that the API returns to its clients.
 var (
-	ErrRequest = errs.New("operator.request", http.StatusBadRequest, "request not accepted")
-	ErrNone    = errs.New("operator.none", http.StatusNotFound, "nothing was accepted yet")
+	ErrRequest   = errs.New("operator.request", http.StatusBadRequest, "request not accepted")
+	ErrNoVersion = errs.New("operator.none", http.StatusNotFound, "nothing was accepted yet")
 )
 
-// maxTree bounds the text of a tree.
-const maxTree = 64 << 20
+// maxTreeBytes is the maximum size of the text of a settings tree.
+const maxTreeBytes = 64 << 20
 
-// maxEntries bounds the events that one node gives.
+// maxEntries is the maximum number of events that one node returns.
 const maxEntries = 1 << 16
 
-// Paths of the interface.
+// Paths of the API.
 const (
 	pathCheck    = "/v1/check"
 	pathAccept   = "/v1/accept"
@@ -46,31 +46,31 @@
 	pathUpstream = "/v1/upstream"
 )
 
-// Checked is the outcome of a check.
-type Checked struct {
+// CheckResult lists the faults that a check found in a tree.
+type CheckResult struct {
 	Faults []settings.Fault `json:"Faults"`
 }
 
-// Planned is what accepting would change.
-type Planned struct {
+// PlanResult lists the changes that accepting a tree would make.
+type PlanResult struct {
 	Changes []settings.Change `json:"Changes"`
 }
 
-// TreeText is an accepted tree.
+// TreeText is an accepted settings tree with its version.
 type TreeText struct {
 	Version settings.Version `json:"Version"`
 	Tree    settings.Tree    `json:"Tree"`
 }
 
-// API serves operators and the backend server on this host.
+// API serves operators and the local backend server.
 type API struct {
 	options Options
 }
 
-// New returns an interface.
+// New returns an API with the given options.
 func New(opts ...Option) *API { return &API{options: newOptions(opts...)} }
 
-// Register adds the routes.
+// Register adds the routes and the error handler of the API.
 func (a *API) Register(e *echo.Echo) {
 	e.HTTPErrorHandler = writeError
 	e.POST(pathCheck, a.check)
@@ -97,7 +97,7 @@
 }
 
 func readTree(c echo.Context) (settings.Tree, error) {
-	data, err := io.ReadAll(io.LimitReader(c.Request().Body, maxTree))
+	data, err := io.ReadAll(io.LimitReader(c.Request().Body, maxTreeBytes))
 	if err != nil {
 		return settings.Tree{}, ErrRequest.Wrap(err)
 	}
@@ -111,7 +111,7 @@
 		return err
 	}
 
-	return c.JSON(http.StatusOK, Checked{Faults: tree.Check()})
+	return c.JSON(http.StatusOK, CheckResult{Faults: tree.Check()})
 }
 
 func (a *API) accept(c echo.Context) error {
@@ -137,7 +137,7 @@
 			return err
 		}
 
-		return c.JSON(http.StatusOK, Planned{Changes: changes})
+		return c.JSON(http.StatusOK, PlanResult{Changes: changes})
 	}
 
 	v, err := a.options.Acceptor.Accept(c.Request().Context(), r)
@@ -164,8 +164,8 @@
 	return n, nil
 }
 
-// tree returns the tree in force on this node, or with a version the accepted
-// one of that number; 0 is the newest.
+// tree returns the active tree of this node or, if the request names a version, the accepted
+// tree with that number; 0 is the newest.
 func (a *API) tree(c echo.Context) error {
 	s := a.options.Snapshots.Load()
 
@@ -181,7 +181,7 @@
 	}
 
 	if s == nil {
-		return ErrNone
+		return ErrNoVersion
 	}
 
 	v := s.Version()
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -18,15 +18,16 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Errors of asking a node.
+// Errors of requests to a node.
 var (
-	// ErrNode means that the node was not asked.
+	// ErrNode reports that the node could not be reached, or that it answered with an error
+	// status without an error ID.
 	ErrNode = errs.New("operator.node", http.StatusServiceUnavailable, "the node can't be asked")
-	// ErrNoAnswer means that the node may have done what was asked.
+	// ErrNoAnswer reports that the answer was lost; the node may have executed the request.
 	ErrNoAnswer = errs.New("operator.no_answer", http.StatusGatewayTimeout, "no answer from the node")
 )
 
-// Client asks one node.
+// Client sends requests to the control API of one node.
 type Client struct {
 	address string
 	base    string
@@ -34,13 +35,13 @@
 	http    *http.Client
 }
 
-// ClientOption sets an option of a client.
+// ClientOption configures a Client.
 type ClientOption func(*Client)
 
-// WithToken sends the operators' token.
+// WithToken sends the operators' token with each request.
 func WithToken(token string) ClientOption { return func(c *Client) { c.token = token } }
 
-// WithTLS connects with TLS.
+// WithTLS makes the client connect over TLS.
 func WithTLS(config *tls.Config) ClientOption {
 	return func(c *Client) {
 		c.base = "https://" + c.address
@@ -48,7 +49,7 @@
 	}
 }
 
-// NewClient returns a client of the node with the control address.
+// NewClient returns a client for the node with the given control address.
 func NewClient(address string, opts ...ClientOption) *Client {
 	const timeout = 30 * time.Second
 
@@ -60,28 +61,28 @@
 	return c
 }
 
-// Check returns the faults of a tree.
+// Check returns the faults that the node finds in a tree.
 func (c *Client) Check(ctx context.Context, file string, tree []byte) ([]settings.Fault, error) {
-	var out Checked
+	var out CheckResult
 
 	err := c.do(ctx, http.MethodPost, pathCheck, url.Values{"file": {file}}, tree, &out)
 
 	return out.Faults, err
 }
 
-// AcceptRequest is what an operator sends.
+// AcceptRequest is a request to accept a settings tree.
 type AcceptRequest struct {
 	File string
 	Tree []byte
 	Base uint64
 	ID   string
-	// Again says that the ID was used before with an unknown outcome.
+	// Again marks a retry of an earlier request with the same ID whose outcome is unknown.
 	Again    bool
 	Operator string
 	Message  string
 }
 
-// Accept makes the tree the accepted version.
+// Accept makes the tree the newest accepted version.
 func (c *Client) Accept(ctx context.Context, r AcceptRequest) (settings.Version, error) {
 	var out settings.Version
 
@@ -90,12 +91,12 @@
 	return out, err
 }
 
-// Plan returns what accepting the tree would change, and accepts nothing.
+// Plan returns the changes that accepting the tree would make, without accepting it.
 func (c *Client) Plan(ctx context.Context, r AcceptRequest) ([]settings.Change, error) {
 	q := r.query()
 	q.Set("dry-run", "1")
 
-	var out Planned
+	var out PlanResult
 
 	err := c.do(ctx, http.MethodPost, pathAccept, q, r.Tree, &out)
 
@@ -124,7 +125,7 @@
 	return out, err
 }
 
-// Tree returns the tree in force on the node.
+// Tree returns the active tree of the node.
 func (c *Client) Tree(ctx context.Context) (TreeText, error) {
 	var out TreeText
 
@@ -142,7 +143,7 @@
 	return out, err
 }
 
-// Status returns what the node sees of the fleet.
+// Status returns the node's view of the fleet.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var out Status
 
@@ -185,7 +186,7 @@
 
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return notAsked(err)
+		return requestError(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 
@@ -210,9 +211,9 @@
 	return nil
 }
 
-// notAsked tells a node that was not reached from one whose answer is lost: the
-// second may have accepted the version.
-func notAsked(err error) error {
+// requestError distinguishes a node that was not reached from a lost answer: in the second
+// case the node may have accepted the version.
+func requestError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return ErrNode.Wrap(err)
--- a/internal/operator/options.go
+++ b/internal/operator/options.go
@@ -9,22 +9,22 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// FleetView asks all nodes.
+// FleetView queries all nodes of the fleet.
 type FleetView interface {
 	Status(ctx context.Context) Status
 	Timeline(ctx context.Context, f timeline.Filter) []timeline.Entry
-	// Floor is the newest version known here.
+	// Floor returns the newest version that this node has learned of.
 	Floor() uint64
 }
 
-// Snapshots gives the settings in force.
+// Snapshots provides the active settings.
 type Snapshots interface {
 	Load() *settings.Snapshot
-	// Known is the version in force here and the ones before it.
+	// Known returns the active version of this node and the versions before it.
 	Known() acceptance.Known
 }
 
-// Options of the interface.
+// Options configures an API.
 type Options struct {
 	Acceptor  *acceptance.Acceptor
 	Snapshots Snapshots
@@ -45,17 +45,17 @@
 	return o
 }
 
-// Acceptor sets who accepts trees.
+// Acceptor sets the acceptor of settings trees.
 func Acceptor(a *acceptance.Acceptor) Option { return func(o *Options) { o.Acceptor = a } }
 
-// WithSnapshots sets where the settings in force are.
+// WithSnapshots sets the source of the active settings.
 func WithSnapshots(s Snapshots) Option { return func(o *Options) { o.Snapshots = s } }
 
-// Fleet sets who asks all nodes.
+// Fleet sets the FleetView that queries all nodes.
 func Fleet(f FleetView) Option { return func(o *Options) { o.Fleet = f } }
 
-// Host sets who takes announcements.
+// Host sets the receiver of announcements of the local backend server.
 func Host(h *upstream.Host) Option { return func(o *Options) { o.Host = h } }
 
-// Accepted sets who is told of an accepted version.
+// Accepted sets the function that is called after a version is accepted.
 func Accepted(f func(settings.Version)) Option { return func(o *Options) { o.Accepted = f } }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -8,7 +8,8 @@
 	"github.com/pollencart/pollencart/internal/membership"
 )
 
-// NodeStatus is what one node tells of itself.
+// NodeStatus is the status that one node reports about itself, with the view that the queried
+// node has of it.
 type NodeStatus struct {
 	ID            string    `json:"ID" msgpack:"ID"`
 	FailureDomain string    `json:"FailureDomain" msgpack:"FailureDomain"`
@@ -16,20 +17,21 @@
 	Version       uint64    `json:"Version" msgpack:"Version"`
 	AcceptedAt    time.Time `json:"AcceptedAt" msgpack:"AcceptedAt"`
 	InForceSince  time.Time `json:"InForceSince" msgpack:"InForceSince"`
-	// Source is the platform or the peer that the version came from.
+	// Source is the platform or the peer from which the node received the version.
 	Source string `json:"Source" msgpack:"Source"`
-	// Heard is the newest version that the node has heard of, and Trouble why it
-	// does not hold that.
+	// Heard is the newest version that the node has learned of. Trouble is the reason why that
+	// version is not active on the node.
 	Heard    uint64              `json:"Heard" msgpack:"Heard"`
 	Trouble  string              `json:"Trouble,omitempty" msgpack:"Trouble,omitempty"`
 	Upstream membership.Upstream `json:"Upstream" msgpack:"Upstream"`
 	InFlight int64               `json:"InFlight" msgpack:"InFlight"`
-	// Known is how many ready backend servers the node could send a call to.
+	// Known is the number of ready backend servers that the node can send calls to.
 	Known int    `json:"Known" msgpack:"Known"`
 	Error string `json:"Error,omitempty" msgpack:"Error,omitempty"`
 }
 
-// Status is what a node sees of the fleet.
+// Status is a node's view of the fleet. InForce is the number of nodes on which the newest
+// version is active.
 type Status struct {
 	Newest     uint64       `json:"Newest"`
 	AcceptedAt time.Time    `json:"AcceptedAt"`
@@ -37,8 +39,8 @@
 	Nodes      []NodeStatus `json:"Nodes"`
 }
 
-// NewStatus sums up what the nodes told; newest is the newest version known to
-// the one who asked them.
+// NewStatus combines the statuses of the nodes; newest is the newest version that the querying
+// node has learned of.
 func NewStatus(newest uint64, nodes []NodeStatus) Status {
 	s := Status{Newest: newest, Nodes: nodes}
 	for _, n := range nodes {
@@ -55,7 +57,8 @@
 	return s
 }
 
-// Delay is how long the newest version took to a node, or why it is not there.
+// Delay is the time from the acceptance of the newest version until it was active on a node, or
+// the reason why it is not active there.
 type Delay struct {
 	Node   string        `json:"Node"`
 	After  time.Duration `json:"AfterNs"`
@@ -63,13 +66,13 @@
 	Why    string        `json:"Why"`
 }
 
-// Slowest returns the nodes that do not hold the newest version, and then those
-// that it reached last, at most count.
+// Slowest returns at most count nodes: first those on which the newest version is not active,
+// then those on which it became active last.
 func (s Status) Slowest(count int) []Delay {
 	var out []Delay
 
 	for _, n := range s.Nodes {
-		d := Delay{Node: n.ID, Behind: n.Version != s.Newest || n.Error != "", Why: n.why()}
+		d := Delay{Node: n.ID, Behind: n.Version != s.Newest || n.Error != "", Why: n.reasonBehind()}
 		if !d.Behind {
 			d.After = n.InForceSince.Sub(s.AcceptedAt)
 			d.Why = "from " + n.Source
@@ -91,8 +94,8 @@
 	return out[:min(count, len(out))]
 }
 
-// why tells why a node does not hold the newest version.
-func (n NodeStatus) why() string {
+// reasonBehind returns the reason why the newest version is not active on a node.
+func (n NodeStatus) reasonBehind() string {
 	switch {
 	case n.Error != "":
 		return "does not answer, believed " + n.Belief + ": " + n.Error
@@ -103,7 +106,7 @@
 	}
 }
 
-// Running counts the nodes that have not left by themselves.
+// Running returns the number of nodes that have not left the fleet.
 func (s Status) Running() int {
 	count := 0
 
