--- a/cmd/pollencart/status.go
+++ b/cmd/pollencart/status.go
@@ -49,7 +49,7 @@
 	fmt.Fprintln(w, "NODE\tDOMAIN\tBELIEF\tVERSION\tIN FORCE SINCE\tSERVICE\tUPSTREAM\tKNOWS\tIN FLIGHT\tERROR")
 
 	for _, n := range s.Nodes {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%d\t%s\n", n.ID, n.FailureDomain, n.Belief, n.Version,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%d\t%s\n", n.ID, n.FailureDomain, n.MemberState, n.Version,
 			n.InForceSince.Format(time.RFC3339Nano), n.Upstream.Service, n.Upstream.State, n.Known, n.InFlight, n.Error)
 	}
 }
--- a/cmd/pollencart/status_test.go
+++ b/cmd/pollencart/status_test.go
@@ -18,7 +18,7 @@
 	at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	node := func(id string, version uint64, after time.Duration, belief membership.State) operator.NodeStatus {
 		return operator.NodeStatus{
-			ID: id, FailureDomain: "derby", Belief: belief.String(), Version: version, AcceptedAt: at,
+			ID: id, FailureDomain: "derby", MemberState: belief.String(), Version: version, AcceptedAt: at,
 			InForceSince: at.Add(after), Source: "127.0.0.1:7000",
 		}
 	}
--- a/internal/node/failure_test.go
+++ b/internal/node/failure_test.go
@@ -57,7 +57,7 @@
 
 	for _, n := range s.Nodes {
 		if n.ID == id {
-			return n.Belief
+			return n.MemberState
 		}
 	}
 
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -45,7 +45,7 @@
 	held := n.holder.Held()
 
 	return operator.NodeStatus{
-		ID: n.config.ID, FailureDomain: n.config.FailureDomain, Belief: membership.StateAlive.String(),
+		ID: n.config.ID, FailureDomain: n.config.FailureDomain, MemberState: membership.StateAlive.String(),
 		Version: n.holder.Number(), AcceptedAt: n.acceptedAt(), InForceSince: held.Since, Source: held.Source,
 		Heard: n.spreader.Heard(), Trouble: n.spreader.Trouble(),
 		Upstream: n.table.Self().Upstream, InFlight: n.inFlight.Load() + n.gate.Running(), Known: n.table.CountReady(),
@@ -72,14 +72,14 @@
 	s := operator.NodeStatus{}
 
 	if r.State == membership.StateLeft {
-		return operator.NodeStatus{ID: r.ID, FailureDomain: r.FailureDomain, Belief: r.State.String(), Error: "left"}
+		return operator.NodeStatus{ID: r.ID, FailureDomain: r.FailureDomain, MemberState: r.State.String(), Error: "left"}
 	}
 
 	if err := n.client.Do(ctx, r.PeerAddress, peer.LaneControl, methodStatus, nothing{}, &s); err != nil {
 		s = operator.NodeStatus{ID: r.ID, FailureDomain: r.FailureDomain, Upstream: r.Upstream, Error: err.Error()}
 	}
 
-	s.Belief = r.State.String()
+	s.MemberState = r.State.String()
 
 	return s
 }
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -180,7 +180,7 @@
 		s, err := f.operator(1).Status(t.Context())
 
 		return err == nil && slices.ContainsFunc(s.Nodes, func(n nodeStatus) bool {
-			return n.ID == h.ID && n.Belief == membership.StateLeft.String()
+			return n.ID == h.ID && n.MemberState == membership.StateLeft.String()
 		})
 	})
 }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -13,7 +13,7 @@
 type NodeStatus struct {
 	ID            string    `json:"ID" msgpack:"ID"`
 	FailureDomain string    `json:"FailureDomain" msgpack:"FailureDomain"`
-	Belief        string    `json:"Belief" msgpack:"Belief"`
+	MemberState   string    `json:"Belief" msgpack:"Belief"`
 	Version       uint64    `json:"Version" msgpack:"Version"`
 	AcceptedAt    time.Time `json:"AcceptedAt" msgpack:"AcceptedAt"`
 	InForceSince  time.Time `json:"InForceSince" msgpack:"InForceSince"`
@@ -78,7 +78,7 @@
 			d.Why = "from " + n.Source
 		}
 
-		if n.Belief != membership.StateLeft.String() {
+		if n.MemberState != membership.StateLeft.String() {
 			out = append(out, d)
 		}
 	}
@@ -98,7 +98,7 @@
 func (n NodeStatus) reasonBehind() string {
 	switch {
 	case n.Error != "":
-		return "does not answer, believed " + n.Belief + ": " + n.Error
+		return "does not answer, believed " + n.MemberState + ": " + n.Error
 	case n.Trouble != "":
 		return n.Trouble
 	default:
@@ -111,7 +111,7 @@
 	count := 0
 
 	for _, n := range s.Nodes {
-		if n.Belief != membership.StateLeft.String() {
+		if n.MemberState != membership.StateLeft.String() {
 			count++
 		}
 	}
--- a/internal/soak/watch.go
+++ b/internal/soak/watch.go
@@ -229,7 +229,7 @@
 
 	for _, n := range s.Nodes {
 		if n.Version != s.Newest || n.Known != len(s.Nodes) || n.Error != "" {
-			out += n.ID + ": " + n.Belief + " " + n.Error + " version " + number(n.Version) + " knows " + number(uint64(n.Known)) + "; "
+			out += n.ID + ": " + n.MemberState + " " + n.Error + " version " + number(n.Version) + " knows " + number(uint64(n.Known)) + "; "
 		}
 	}
 
