--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -279,7 +279,7 @@
 		}
 
 		for _, n := range s.Nodes {
-			if n.Known != len(f.Hosts) {
+			if n.ReadyBackends != len(f.Hosts) {
 				return false
 			}
 		}
--- a/internal/node/failure_test.go
+++ b/internal/node/failure_test.go
@@ -73,7 +73,7 @@
 
 	for _, n := range s.Nodes {
 		if n.ID == f.hosts[i].ID {
-			return n.Known
+			return n.ReadyBackends
 		}
 	}
 
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -177,7 +177,7 @@
 		}
 
 		for _, n := range s.Nodes {
-			if n.Known != len(f.hosts) {
+			if n.ReadyBackends != len(f.hosts) {
 				return false
 			}
 		}
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -91,7 +91,7 @@
 func (f *fleet) allKnow(want int) bool {
 	s, err := f.operator(1).Status(f.t.Context())
 
-	return err == nil && !slices.ContainsFunc(s.Nodes, func(n operator.NodeStatus) bool { return n.Known != want })
+	return err == nil && !slices.ContainsFunc(s.Nodes, func(n operator.NodeStatus) bool { return n.ReadyBackends != want })
 }
 
 // The first press ended one backend server; then the caller opens ten windows at
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -25,9 +25,9 @@
 	Trouble  string              `json:"Trouble,omitempty" msgpack:"Trouble,omitempty"`
 	Upstream membership.Upstream `json:"Upstream" msgpack:"Upstream"`
 	InFlight int64               `json:"InFlight" msgpack:"InFlight"`
-	// Known is the number of ready backend servers that the node can send calls to.
-	Known int    `json:"Known" msgpack:"Known"`
-	Error string `json:"Error,omitempty" msgpack:"Error,omitempty"`
+	// ReadyBackends is the number of ready backend servers that the node can send calls to.
+	ReadyBackends int    `json:"Known" msgpack:"Known"`
+	Error         string `json:"Error,omitempty" msgpack:"Error,omitempty"`
 }
 
 // Status is a node's view of the fleet. InForce is the number of nodes on which the newest
--- a/internal/soak/watch.go
+++ b/internal/soak/watch.go
@@ -216,7 +216,7 @@
 	}
 
 	for _, n := range s.Nodes {
-		if n.Known != len(w.fleet.Hosts) {
+		if n.ReadyBackends != len(w.fleet.Hosts) {
 			return describe(s), false
 		}
 	}
@@ -228,8 +228,8 @@
 	out := ""
 
 	for _, n := range s.Nodes {
-		if n.Version != s.Newest || n.Known != len(s.Nodes) || n.Error != "" {
-			out += n.ID + ": " + n.MemberState + " " + n.Error + " version " + number(n.Version) + " knows " + number(uint64(n.Known)) + "; "
+		if n.Version != s.Newest || n.ReadyBackends != len(s.Nodes) || n.Error != "" {
+			out += n.ID + ": " + n.MemberState + " " + n.Error + " version " + number(n.Version) + " knows " + number(uint64(n.ReadyBackends)) + "; "
 		}
 	}
 
