--- a/cmd/bench/demo.go
+++ b/cmd/bench/demo.go
@@ -132,7 +132,7 @@
 
 	for _, n := range s.Nodes {
 		fmt.Printf("  %-24s %-12s after %6.1f ms\n", n.ID, n.FailureDomain,
-			float64(n.InForceSince.Sub(v.AcceptedAt).Microseconds())/1000)
+			float64(n.ActiveSince.Sub(v.AcceptedAt).Microseconds())/1000)
 	}
 
 	return nil
--- a/cmd/pollencart/status.go
+++ b/cmd/pollencart/status.go
@@ -50,6 +50,6 @@
 
 	for _, n := range s.Nodes {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%d\t%s\n", n.ID, n.FailureDomain, n.MemberState, n.Version,
-			n.InForceSince.Format(time.RFC3339Nano), n.Upstream.Service, n.Upstream.State, n.ReadyBackends, n.InFlight, n.Error)
+			n.ActiveSince.Format(time.RFC3339Nano), n.Upstream.Service, n.Upstream.State, n.ReadyBackends, n.InFlight, n.Error)
 	}
 }
--- a/cmd/pollencart/status_test.go
+++ b/cmd/pollencart/status_test.go
@@ -19,7 +19,7 @@
 	node := func(id string, version uint64, after time.Duration, belief membership.State) operator.NodeStatus {
 		return operator.NodeStatus{
 			ID: id, FailureDomain: "derby", MemberState: belief.String(), Version: version, AcceptedAt: at,
-			InForceSince: at.Add(after), Source: "127.0.0.1:7000",
+			ActiveSince: at.Add(after), Source: "127.0.0.1:7000",
 		}
 	}
 
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -46,7 +46,7 @@
 
 	return operator.NodeStatus{
 		ID: n.config.ID, FailureDomain: n.config.FailureDomain, MemberState: membership.StateAlive.String(),
-		Version: n.holder.Number(), AcceptedAt: n.acceptedAt(), InForceSince: held.Since, Source: held.Source,
+		Version: n.holder.Number(), AcceptedAt: n.acceptedAt(), ActiveSince: held.Since, Source: held.Source,
 		Heard: n.spreader.Heard(), Trouble: n.spreader.Trouble(),
 		Upstream: n.table.Self().Upstream, InFlight: n.inFlight.Load() + n.gate.Running(), ReadyBackends: n.table.CountReady(),
 	}, nil
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -16,7 +16,7 @@
 	MemberState   string    `json:"Belief" msgpack:"Belief"`
 	Version       uint64    `json:"Version" msgpack:"Version"`
 	AcceptedAt    time.Time `json:"AcceptedAt" msgpack:"AcceptedAt"`
-	InForceSince  time.Time `json:"InForceSince" msgpack:"InForceSince"`
+	ActiveSince   time.Time `json:"InForceSince" msgpack:"InForceSince"`
 	// Source is the platform or the peer from which the node received the version.
 	Source string `json:"Source" msgpack:"Source"`
 	// Heard is the newest version that the node has learned of. Trouble is the reason why that
@@ -74,7 +74,7 @@
 	for _, n := range s.Nodes {
 		d := Delay{Node: n.ID, Behind: n.Version != s.Newest || n.Error != "", Why: n.reasonBehind()}
 		if !d.Behind {
-			d.After = n.InForceSince.Sub(s.AcceptedAt)
+			d.After = n.ActiveSince.Sub(s.AcceptedAt)
 			d.Why = "from " + n.Source
 		}
 
