--- a/cmd/bench/demo.go
+++ b/cmd/bench/demo.go
@@ -128,7 +128,7 @@
 		return err
 	}
 
-	fmt.Printf("\nversion %d accepted; in force on %d of %d nodes\n", v.Number, s.InForce, len(s.Nodes))
+	fmt.Printf("\nversion %d accepted; in force on %d of %d nodes\n", v.Number, s.ActiveNodes, len(s.Nodes))
 
 	for _, n := range s.Nodes {
 		fmt.Printf("  %-24s %-12s after %6.1f ms\n", n.ID, n.FailureDomain,
--- a/cmd/pollencart/status.go
+++ b/cmd/pollencart/status.go
@@ -36,7 +36,7 @@
 }
 
 func writeStatus(w io.Writer, s statusReport) {
-	fmt.Fprintf(w, "version %d in force on %d of %d nodes\n", s.Newest, s.InForce, s.Running())
+	fmt.Fprintf(w, "version %d in force on %d of %d nodes\n", s.Newest, s.ActiveNodes, s.Running())
 
 	for _, d := range s.Slowest {
 		if d.Behind {
--- a/cmd/pollencart/status_test.go
+++ b/cmd/pollencart/status_test.go
@@ -42,6 +42,6 @@
 
 	writeStatus(&b, statusReport{Status: s, Slowest: s.Slowest(5)})
 	golden.Assert(t, b.String(), "status.golden")
-	assert.Equal(t, s.InForce, 3)
+	assert.Equal(t, s.ActiveNodes, 3)
 	assert.Equal(t, s.Running(), 6)
 }
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -264,7 +264,7 @@
 		now, err := f.Operator(0).Status(ctx)
 		s = now
 
-		return err == nil && s.Newest >= number && s.InForce == len(f.Hosts)
+		return err == nil && s.Newest >= number && s.ActiveNodes == len(f.Hosts)
 	})
 
 	return s, err
--- a/internal/node/accepted_test.go
+++ b/internal/node/accepted_test.go
@@ -38,7 +38,7 @@
 		s, err := f.operator(1).Status(t.Context())
 		history, historyErr := f.operator(1).History(t.Context())
 
-		return err == nil && historyErr == nil && s.InForce == len(f.hosts) &&
+		return err == nil && historyErr == nil && s.ActiveNodes == len(f.hosts) &&
 			s.Newest == v.Number && holds(history, v)
 	})
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -172,7 +172,7 @@
 	assert.NilError(f.t, err)
 	f.wait("version in force and backend servers ready", func() bool {
 		s, err := f.operator(1).Status(f.t.Context())
-		if err != nil || s.InForce != len(f.hosts) {
+		if err != nil || s.ActiveNodes != len(f.hosts) {
 			return false
 		}
 
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -42,7 +42,7 @@
 	f.wait("version in force everywhere", func() bool {
 		s, err := f.operator(1).Status(f.t.Context())
 
-		return err == nil && s.Newest == number && s.InForce == len(f.hosts)
+		return err == nil && s.Newest == number && s.ActiveNodes == len(f.hosts)
 	})
 }
 
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -30,13 +30,13 @@
 	Error         string `json:"Error,omitempty" msgpack:"Error,omitempty"`
 }
 
-// Status is a node's view of the fleet. InForce is the number of nodes on which the newest
+// Status is a node's view of the fleet. ActiveNodes is the number of nodes on which the newest
 // version is active.
 type Status struct {
-	Newest     uint64       `json:"Newest"`
-	AcceptedAt time.Time    `json:"AcceptedAt"`
-	InForce    int          `json:"InForce"`
-	Nodes      []NodeStatus `json:"Nodes"`
+	Newest      uint64       `json:"Newest"`
+	AcceptedAt  time.Time    `json:"AcceptedAt"`
+	ActiveNodes int          `json:"InForce"`
+	Nodes       []NodeStatus `json:"Nodes"`
 }
 
 // NewStatus combines the statuses of the nodes; newest is the newest version that the querying
@@ -49,7 +49,7 @@
 
 	for _, n := range nodes {
 		if n.Version == s.Newest && n.Error == "" {
-			s.InForce++
+			s.ActiveNodes++
 			s.AcceptedAt = n.AcceptedAt
 		}
 	}
--- a/internal/soak/watch.go
+++ b/internal/soak/watch.go
@@ -211,7 +211,7 @@
 		return "the newest accepted version is not held", false
 	}
 
-	if s.InForce != len(w.fleet.Hosts) {
+	if s.ActiveNodes != len(w.fleet.Hosts) {
 		return describe(s), false
 	}
 
