--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -32,7 +32,7 @@
 		operator.WithSnapshots(n.holder),
 		operator.Fleet(n),
 		operator.Host(n.host),
-		operator.Accepted(n.accepted),
+		operator.OnAccepted(n.accepted),
 	).Register(e)
 
 	if n.config.FaultInjection {
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -145,7 +145,7 @@
 		return err
 	}
 
-	a.options.Accepted(v)
+	a.options.OnAccepted(v)
 
 	return c.JSON(http.StatusOK, v)
 }
--- a/internal/operator/options.go
+++ b/internal/operator/options.go
@@ -26,18 +26,18 @@
 
 // Options configures an API.
 type Options struct {
-	Acceptor  *acceptance.Acceptor
-	Snapshots Snapshots
-	Fleet     FleetView
-	Host      *upstream.Host
-	Accepted  func(settings.Version)
+	Acceptor   *acceptance.Acceptor
+	Snapshots  Snapshots
+	Fleet      FleetView
+	Host       *upstream.Host
+	OnAccepted func(settings.Version)
 }
 
 // Option sets an option.
 type Option func(*Options)
 
 func newOptions(opts ...Option) Options {
-	o := Options{Accepted: func(settings.Version) {}}
+	o := Options{OnAccepted: func(settings.Version) {}}
 	for _, opt := range opts {
 		opt(&o)
 	}
@@ -57,5 +57,5 @@
 // Host sets the receiver of announcements of the local backend server.
 func Host(h *upstream.Host) Option { return func(o *Options) { o.Host = h } }
 
-// Accepted sets the function that is called after a version is accepted.
-func Accepted(f func(settings.Version)) Option { return func(o *Options) { o.Accepted = f } }
+// OnAccepted sets the function that is called after a version is accepted.
+func OnAccepted(f func(settings.Version)) Option { return func(o *Options) { o.OnAccepted = f } }
