--- a/cmd/pollencart/status.go
+++ b/cmd/pollencart/status.go
@@ -36,7 +36,7 @@
 }
 
 func writeStatus(w io.Writer, s statusReport) {
-	fmt.Fprintf(w, "version %d in force on %d of %d nodes\n", s.Newest, s.InForce, s.Running())
+	fmt.Fprintf(w, "version %d in force on %d of %d nodes\n", s.Newest, s.ActiveNodes, s.Running())
 
 	for _, d := range s.Slowest {
 		if d.Behind {
@@ -49,7 +49,7 @@
 	fmt.Fprintln(w, "NODE\tDOMAIN\tBELIEF\tVERSION\tIN FORCE SINCE\tSERVICE\tUPSTREAM\tKNOWS\tIN FLIGHT\tERROR")
 
 	for _, n := range s.Nodes {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%d\t%s\n", n.ID, n.FailureDomain, n.Belief, n.Version,
-			n.InForceSince.Format(time.RFC3339Nano), n.Upstream.Service, n.Upstream.State, n.Known, n.InFlight, n.Error)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%d\t%s\n", n.ID, n.FailureDomain, n.MemberState, n.Version,
+			n.ActiveSince.Format(time.RFC3339Nano), n.Upstream.Service, n.Upstream.State, n.ReadyBackends, n.InFlight, n.Error)
 	}
 }
--- a/cmd/pollencart/status_test.go
+++ b/cmd/pollencart/status_test.go
@@ -18,8 +18,8 @@
 	at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	node := func(id string, version uint64, after time.Duration, belief membership.State) operator.NodeStatus {
 		return operator.NodeStatus{
-			ID: id, FailureDomain: "derby", Belief: belief.String(), Version: version, AcceptedAt: at,
-			InForceSince: at.Add(after), Source: "127.0.0.1:7000",
+			ID: id, FailureDomain: "derby", MemberState: belief.String(), Version: version, AcceptedAt: at,
+			ActiveSince: at.Add(after), Source: "127.0.0.1:7000",
 		}
 	}
 
@@ -42,6 +42,6 @@
 
 	writeStatus(&b, statusReport{Status: s, Slowest: s.Slowest(5)})
 	golden.Assert(t, b.String(), "status.golden")
-	assert.Equal(t, s.InForce, 3)
+	assert.Equal(t, s.ActiveNodes, 3)
 	assert.Equal(t, s.Running(), 6)
 }
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -264,7 +264,7 @@
 		now, err := f.Operator(0).Status(ctx)
 		s = now
 
-		return err == nil && s.Newest >= number && s.InForce == len(f.Hosts)
+		return err == nil && s.Newest >= number && s.ActiveNodes == len(f.Hosts)
 	})
 
 	return s, err
@@ -279,7 +279,7 @@
 		}
 
 		for _, n := range s.Nodes {
-			if n.Known != len(f.Hosts) {
+			if n.ReadyBackends != len(f.Hosts) {
 				return false
 			}
 		}
--- a/internal/node/failure_test.go
+++ b/internal/node/failure_test.go
@@ -57,7 +57,7 @@
 
 	for _, n := range s.Nodes {
 		if n.ID == id {
-			return n.Belief
+			return n.MemberState
 		}
 	}
 
@@ -73,7 +73,7 @@
 
 	for _, n := range s.Nodes {
 		if n.ID == f.hosts[i].ID {
-			return n.Known
+			return n.ReadyBackends
 		}
 	}
 
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -172,12 +172,12 @@
 	assert.NilError(f.t, err)
 	f.wait("version in force and backend servers ready", func() bool {
 		s, err := f.operator(1).Status(f.t.Context())
-		if err != nil || s.InForce != len(f.hosts) {
+		if err != nil || s.ActiveNodes != len(f.hosts) {
 			return false
 		}
 
 		for _, n := range s.Nodes {
-			if n.Known != len(f.hosts) {
+			if n.ReadyBackends != len(f.hosts) {
 				return false
 			}
 		}
@@ -194,7 +194,7 @@
 	status int
 	header http.Header
 	answer backend.Answer
-	away   frontend.TurnedAway
+	away   frontend.Rejection
 }
 
 // send sends a request through a node.
--- a/internal/soak/watch.go
+++ b/internal/soak/watch.go
@@ -211,12 +211,12 @@
 		return "the newest accepted version is not held", false
 	}
 
-	if s.InForce != len(w.fleet.Hosts) {
+	if s.ActiveNodes != len(w.fleet.Hosts) {
 		return describe(s), false
 	}
 
 	for _, n := range s.Nodes {
-		if n.Known != len(w.fleet.Hosts) {
+		if n.ReadyBackends != len(w.fleet.Hosts) {
 			return describe(s), false
 		}
 	}
@@ -228,8 +228,8 @@
 	out := ""
 
 	for _, n := range s.Nodes {
-		if n.Version != s.Newest || n.Known != len(s.Nodes) || n.Error != "" {
-			out += n.ID + ": " + n.Belief + " " + n.Error + " version " + number(n.Version) + " knows " + number(uint64(n.Known)) + "; "
+		if n.Version != s.Newest || n.ReadyBackends != len(s.Nodes) || n.Error != "" {
+			out += n.ID + ": " + n.MemberState + " " + n.Error + " version " + number(n.Version) + " knows " + number(uint64(n.ReadyBackends)) + "; "
 		}
 	}
 
