--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -14,10 +14,10 @@
 	"github.com/pollencart/pollencart/internal/upstream"
 )
 
-// calls makes the two ends of a call's path.
-func (n *Node) calls() {
+// initCallPath creates the entry node's frontend and the gate of the local backend server.
+func (n *Node) initCallPath() {
 	n.queue = admission.New()
-	n.host = upstream.New(n.table, n.queue, n.recorder, upstream.Changed(n.announced), upstream.Restarted(func() {
+	n.host = upstream.New(n.table, n.queue, n.recorder, upstream.Changed(n.onUpstreamChange), upstream.Restarted(func() {
 		go n.suspects.Restarted(context.Background())
 	}))
 	n.gate = gate.New(n.config.ID, n.host, n.queue, gate.Recorder(n.recorder)).WithStarts(n.register).WithSuspects(n.suspects)
@@ -37,8 +37,9 @@
 	)
 }
 
-// within ends calls of other nodes with the work on calls.
-func within[Out any](work context.Context, serve func(context.Context, call.Call) (Out, error)) func(context.Context, call.Call) (Out, error) {
+// withWork wraps a handler of calls from other nodes: the context of a call is also
+// canceled, with the same cause, when work is.
+func withWork[Out any](work context.Context, serve func(context.Context, call.Call) (Out, error)) func(context.Context, call.Call) (Out, error) {
 	return func(ctx context.Context, c call.Call) (Out, error) {
 		ctx, cancel := context.WithCancelCause(ctx)
 		defer cancel(nil)
@@ -48,11 +49,12 @@
 	}
 }
 
-// announced takes a change of what the backend server says of itself; one comes after the
-// other. What other gates of a service were told before, this one was not told.
-func (n *Node) announced() {
-	if s := n.table.Self().Upstream.Service; s != n.serves {
-		n.serves = s
+// onUpstreamChange handles a changed announcement of the local backend server; calls of it
+// don't overlap. After a change of service the suspects are stale, since this gate received
+// none of the notifications sent to the gates of the new service.
+func (n *Node) onUpstreamChange() {
+	if s := n.table.Self().Upstream.Service; s != n.lastService {
+		n.lastService = s
 		n.suspects.MarkStale()
 	}
 
@@ -72,7 +74,7 @@
 
 		if r.Body != http.NoBody {
 			b := n.newBody(w, r)
-			defer b.read()
+			defer b.disarm()
 
 			r.Body = b
 		}
@@ -81,25 +83,25 @@
 	})
 }
 
-// body is that of a request, read only for as long as calls are taken.
+// body is a request body whose reads fail once the node accepts no more calls.
 type body struct {
 	io.ReadCloser
 
-	read func() bool
+	disarm func() bool // prevents the read deadline from being set
 }
 
 func (n *Node) newBody(w http.ResponseWriter, r *http.Request) body {
 	conn := http.NewResponseController(w)
 
-	return body{r.Body, context.AfterFunc(n.taking, func() { _ = conn.SetReadDeadline(time.Now()) })} // a closed connection needs no waking
+	return body{r.Body, context.AfterFunc(n.accepting, func() { _ = conn.SetReadDeadline(time.Now()) })} // fails only on a closed connection
 }
 
-// Read leaves the connection alone after the last byte, since net/http reads on to see whether
-// the caller goes away.
+// Read disarms the read deadline at the end of the body, since net/http then reads from the
+// connection in the background to detect that the caller disconnects.
 func (b body) Read(p []byte) (int, error) {
 	size, err := b.ReadCloser.Read(p)
 	if err != nil {
-		b.read()
+		b.disarm()
 	}
 
 	return size, err
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -21,7 +21,7 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// controlHandler serves operators, the backend server on this host and metrics.
+// controlHandler serves operators, the local backend server and metrics.
 func (n *Node) controlHandler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -32,7 +32,7 @@
 		operator.WithSnapshots(n.holder),
 		operator.Fleet(n),
 		operator.Host(n.host),
-		operator.Accepted(n.accepted),
+		operator.Accepted(n.onAccepted),
 	).Register(e)
 
 	if n.config.FaultInjection {
@@ -46,17 +46,17 @@
 	return e
 }
 
-// errToken is returned to who does not send the operators' token.
+// errToken rejects requests without a valid operators' token.
 var errToken = errs.New("operator.token", http.StatusUnauthorized, "the operators' token is missing or wrong")
 
-// authorize lets operators in by their token. What says only whether the node
-// works is open to all, and announcements to who stands on this host.
+// authorize requires the operators' token for paths under /v1/. Health, readiness and
+// metrics need no token, nor do announcements of a backend server from this host.
 func (n *Node) authorize(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		open := !strings.HasPrefix(c.Request().URL.Path, "/v1/")
-		own := c.Request().URL.Path == "/v1/upstream" && n.onThisHost(c.Request().RemoteAddr)
+		announcement := c.Request().URL.Path == "/v1/upstream" && n.fromThisHost(c.Request().RemoteAddr)
 
-		if n.config.OperatorTokenFile == "" || open || own ||
+		if n.config.OperatorTokenFile == "" || open || announcement ||
 			credentials.NewToken(n.config.OperatorTokenFile).Allows(c.Request().Header.Get("Authorization")) {
 			return next(c)
 		}
@@ -65,8 +65,8 @@
 	}
 }
 
-// onThisHost reports whether a connection comes from this host.
-func (n *Node) onThisHost(remote string) bool {
+// fromThisHost reports whether a remote address belongs to this host.
+func (n *Node) fromThisHost(remote string) bool {
 	from, _, err := net.SplitHostPort(remote)
 	if err != nil {
 		return false
@@ -77,7 +77,7 @@
 	return from == own || net.ParseIP(from).IsLoopback()
 }
 
-// Faults is what an experiment makes go wrong on this node.
+// Faults are the faults that an experiment injects into this node.
 type Faults struct {
 	// Blocked are peer addresses that this node sends nothing to.
 	Blocked []string `json:"Blocked"`
@@ -95,9 +95,9 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (n *Node) accepted(v settings.Version) {
+func (n *Node) onAccepted(v settings.Version) {
 	n.recorder.Record(event.VersionAccepted, timeline.Entry{Version: v.Number, Detail: v.AcceptanceID})
-	n.spreader.Refresh(context.Background())
+	n.propagator.Refresh(context.Background())
 }
 
 func (n *Node) readyz(c echo.Context) error {
@@ -135,9 +135,9 @@
 		{"pollencart_peer_received_bytes", "Bytes received from other nodes.", func() float64 {
 			return float64(n.client.Received.Load() + n.server.Received.Load())
 		}},
-		{"pollencart_settings_pushes", "Deltas pushed to other nodes.", func() float64 { return float64(n.spreader.Pushes.Load()) }},
-		{"pollencart_settings_offers", "Version numbers offered to other nodes.", func() float64 { return float64(n.spreader.Offers.Load()) }},
-		{"pollencart_settings_pulls", "Deltas and trees asked of other nodes.", func() float64 { return float64(n.spreader.Pulls.Load()) }},
+		{"pollencart_settings_pushes", "Deltas pushed to other nodes.", func() float64 { return float64(n.propagator.Pushes.Load()) }},
+		{"pollencart_settings_offers", "Version numbers offered to other nodes.", func() float64 { return float64(n.propagator.Offers.Load()) }},
+		{"pollencart_settings_pulls", "Deltas and trees asked of other nodes.", func() float64 { return float64(n.propagator.Pulls.Load()) }},
 		{"pollencart_platform_calls", "Calls made to the platform.", func() float64 { return float64(n.store.Calls.Load()) }},
 	} {
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: m.name, Help: m.help}, m.value))
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -12,76 +12,79 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// notice is how long a leaving node goes on taking its callers' requests, and
-// tells them to connect elsewhere. It is as long as gossip needs to reach the
-// whole fleet, and longer than what looks at /readyz should pause.
-const notice = time.Second
+// drainNotice is how long a draining node still serves its callers while it tells them to
+// connect to another node. It covers the time that gossip needs to reach the whole fleet, and
+// must be longer than the interval at which load balancers poll /readyz.
+const drainNotice = time.Second
 
-// leavePart is the part of the DrainTimeout that is kept for handing over what others
-// depend on, and leaveTime the most of it: the calls of most routes end within it.
+// handOverShare is the fraction (1/n) of the DrainTimeout that is reserved for handing over
+// keys, and maxHandOverTime its upper limit: the calls of most routes end within it.
 //
-// lingerTime is how long the node answers others after it has told that it leaves. Those
-// who have not heard yet are refused by word; on a connection that is just being closed
-// a call can't be told from one that ran. It is some rounds of gossip.
+// lingerTime, some rounds of gossip, is how long the node answers other nodes after it has
+// announced its departure. Nodes that have not received it yet get an explicit rejection; on a
+// connection that is closed instead, a call that ran can't be distinguished from one that did not.
 //
-// keysTime is how long homes have to ask gates about keys that the stop gives up; their
-// answers go out in what is left of lingerTime.
+// keyResolveTime is how long owner nodes have to query gates about keys that the drain
+// abandons; the answers are sent in the rest of lingerTime.
 const (
-	leavePart  = 3
-	leaveTime  = 4 * time.Second
-	lingerTime = 500 * time.Millisecond
-	keysTime   = once.DefaultCloseTimeout + 50*time.Millisecond
+	handOverShare   = 3
+	maxHandOverTime = 4 * time.Second
+	lingerTime      = 500 * time.Millisecond
+	keyResolveTime  = once.DefaultCloseTimeout + 50*time.Millisecond
 )
 
-// stop is the planned stop of a node in its order, apart from what is stopped.
+// drainSequence is the order of steps in which a node drains, separate from the parts that
+// they act on.
 //
-// What goes wrong with one deadline for all: a call that hangs at the backend server
-// keeps the stop waiting until the deadline, and the node is the home of new keys all
-// the while. Then there is no time to hand them over and to end those under way: their
-// callers get 503 or 504 and unknown, and the keys of the shards have no home.
-type stop struct {
+// A single deadline for all steps is not enough: a call that hangs at the backend server uses
+// up the whole time while the node remains the owner of new keys. No time is left to hand over
+// keys and to finish the running ones: their callers get 503 or 504 with "unknown", and the
+// keys of the shards have no owner.
+type drainSequence struct {
 	timeout time.Duration
-	// retire ends callers' connections with the answers that they wait for, and takes of
-	// them only calls that are over by the end.
-	retire func(end time.Time)
-	// runs counts calls of other nodes that run here, inside all that has not ended here.
-	runs, inside func() int64
-	// close takes no calls of callers any more.
+	// retireConnections closes callers' connections after their pending answers, and admits
+	// only calls that finish before end.
+	retireConnections func(end time.Time)
+	// gateCalls counts calls that run at the local backend server, inFlight all unfinished work
+	// of the node.
+	gateCalls, inFlight func() int64
+	// close rejects all further requests of callers.
 	close func()
-	// handOver starts no more keys and gives those of others away; keys counts those
-	// that have not ended.
-	handOver func(context.Context)
-	keys     func() int64
-	// leave tells the others, and settle takes no more connections of callers.
-	leave  func(context.Context)
-	settle func()
-	// abandon ends what has not ended, and returns when it is answered or ctx ends.
+	// handOver starts no more keys and transfers the keys of shards to other nodes;
+	// pendingKeys counts the keys that have not finished.
+	handOver    func(context.Context)
+	pendingKeys func() int64
+	// leave announces the departure to other nodes, and stopListening accepts no more
+	// connections of callers.
+	leave         func(context.Context)
+	stopListening func()
+	// abandon cancels unfinished work, and returns when it is answered or ctx ends.
 	abandon func(context.Context)
 }
 
-// run returns when nothing is inside any more, or the time is over. A call that does not
-// end takes no more than its own answer with it. Callers are taken for as long as the backend
-// server runs calls, which may depend on calls that it makes itself, and then refused by
-// word, so that the end depends only on what was taken.
-func (s stop) run(ctx context.Context) {
+// run returns when no work is in flight or the timeout is over. A call that does not end delays
+// nothing but its own answer. Callers' requests are admitted for as long as the backend server
+// runs calls, since these may depend on calls that it makes through this node. After that they
+// get an explicit rejection, so that the end of the drain depends only on admitted calls.
+func (s drainSequence) run(ctx context.Context) {
 	end := time.Now().Add(max(s.timeout-lingerTime, s.timeout/2))
 
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 
-	early, stopEarly := context.WithTimeout(ctx, s.timeout-min(leaveTime, s.timeout/leavePart))
+	early, stopEarly := context.WithTimeout(ctx, s.timeout-min(maxHandOverTime, s.timeout/handOverShare))
 	defer stopEarly()
 
-	idle.For(early, notice)
-	s.retire(end)
-	until(early, s.runs)
+	idle.For(early, drainNotice)
+	s.retireConnections(end)
+	waitForZero(early, s.gateCalls)
 	s.close()
-	until(early, s.inside)
+	waitForZero(early, s.inFlight)
 	s.handOver(ctx)
-	until(ctx, s.keys)
+	waitForZero(ctx, s.pendingKeys)
 	s.leave(context.WithoutCancel(ctx))
-	until(ctx, s.inside)
-	s.settle()
+	waitForZero(ctx, s.inFlight)
+	s.stopListening()
 
 	last, stopLast := context.WithTimeout(context.WithoutCancel(ctx), lingerTime)
 	defer stopLast()
@@ -90,8 +93,8 @@
 	idle.For(last, lingerTime)
 }
 
-// until waits until nothing is counted or ctx ends.
-func until(ctx context.Context, count func() int64) {
+// waitForZero polls count until it returns zero or ctx ends.
+func waitForZero(ctx context.Context, count func() int64) {
 	const pause = 10 * time.Millisecond
 
 	for count() > 0 && ctx.Err() == nil {
@@ -99,73 +102,77 @@
 	}
 }
 
-// drain is the planned stop. Nothing is cut off: the gate refuses new calls as
-// not run from the first moment, so that entries send them elsewhere; callers of
-// this entry are still answered while they and the fleet learn of it; then
-// nothing new is let in, and what is inside is finished.
+// drain shuts the node down without dropping calls. From the start, the gate rejects new calls
+// as not run, so that entry nodes send them to other nodes. Callers of this node are still
+// served while they and the fleet learn of the drain; then no new call is admitted, and the
+// calls in flight finish.
 func (n *Node) drain() {
 	n.recorder.Record(event.NodeDraining, timeline.Entry{Detail: "within " + time.Duration(n.config.DrainTimeout).String()})
 	n.draining.Leave()
 	n.host.Leave()
 
-	stop{
-		timeout: time.Duration(n.config.DrainTimeout),
-		retire:  n.retire, runs: n.gate.Running, inside: n.running, close: n.closeIntake,
-		handOver: n.handOver, keys: n.home.Running, leave: n.leave, settle: n.settle, abandon: n.abandon,
+	drainSequence{
+		timeout:           time.Duration(n.config.DrainTimeout),
+		retireConnections: n.retireConnections, gateCalls: n.gate.Running, inFlight: n.inFlightTotal, close: n.closeIntake,
+		handOver: n.handOver, pendingKeys: n.home.Running, leave: n.leave, stopListening: n.stopListening,
+		abandon: n.abandon,
 	}.run(context.Background())
 }
 
-// retire goes on listening: who connects is told that this node leaves.
-func (n *Node) retire(end time.Time) {
+// retireConnections ends keep-alive connections and limits admission to calls that finish
+// before end. The node still listens, so that new connections get an answer that says that it
+// is draining.
+func (n *Node) retireConnections(end time.Time) {
 	n.draining.LimitTo(end)
-	n.callers.SetKeepAlivesEnabled(false)
+	n.callerServer.SetKeepAlivesEnabled(false)
 }
 
-// closeIntake refuses calls of callers, also those whose bodies have not come.
+// closeIntake rejects callers' requests, including those whose bodies have not arrived.
 func (n *Node) closeIntake() {
 	n.draining.Close()
-	n.stopTaking()
+	n.stopAccepting()
 }
 
-// settle says what this node leaves unfinished, and stops listening before connections are
-// closed: a request that comes in while net/http shuts down gets no answer.
-func (n *Node) settle() {
-	if left := n.running(); left > 0 {
+// stopListening records the work that is still unfinished, and closes the callers' listener
+// before the connections are closed: a request that arrives while net/http shuts down gets no
+// answer.
+func (n *Node) stopListening() {
+	if left := n.inFlightTotal(); left > 0 {
 		n.recorder.Record(event.NodeCutsOff, timeline.Entry{Detail: fmt.Sprintf("%d callers' requests, %d calls of other nodes, %d keys",
 			n.inFlight.Load(), n.gate.Running(), n.home.Running())})
 	}
 
-	_ = n.callerListener.Close() // it was open until now
+	_ = n.callerListener.Close() // no other code closes it before
 }
 
-// abandon ends calls that have not ended: their callers still wait for an answer. The keys end
-// first, since only their home can say that they did not run.
+// abandon cancels unfinished calls, so that their callers get an answer. Runs of keys are
+// canceled first, since only the owner node of a key can report that it did not run.
 func (n *Node) abandon(ctx context.Context) {
 	n.home.CancelRuns()
 
-	keys, cancel := context.WithTimeout(ctx, keysTime)
+	keys, cancel := context.WithTimeout(ctx, keyResolveTime)
 	defer cancel()
 
-	until(keys, n.home.Running)
-	n.giveUp(frontend.ErrGivenUp)
-	until(ctx, n.running)
+	waitForZero(keys, n.home.Running)
+	n.cancelWork(frontend.ErrGivenUp)
+	waitForZero(ctx, n.inFlightTotal)
 }
 
-// leave tells others that this node leaves.
+// leave gossips the departure of this node.
 func (n *Node) leave(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, notice)
+	ctx, cancel := context.WithTimeout(ctx, drainNotice)
 	defer cancel()
 
 	n.gossip.Leave(ctx)
 }
 
-// running counts what is inside: callers' requests, other nodes' calls at the
-// gate, keys at their home.
-func (n *Node) running() int64 { return n.inFlight.Load() + n.gate.Running() + n.home.Running() }
+// inFlightTotal counts callers' requests, other nodes' calls at the gate, and running keys that
+// this node owns.
+func (n *Node) inFlightTotal() int64 { return n.inFlight.Load() + n.gate.Running() + n.home.Running() }
 
-// flush waits until the answers to other nodes are on their way; closing the
-// connections before would cut off calls that have run.
-func (n *Node) flush(ctx context.Context) {
+// waitForReplies waits until the answers to other nodes are sent; closing the connections
+// earlier would lose the answers of calls that have run.
+func (n *Node) waitForReplies(ctx context.Context) {
 	for n.server.Running() > 0 && ctx.Err() == nil {
 		idle.For(ctx, time.Millisecond)
 	}
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -9,27 +9,27 @@
 	"gotest.tools/v3/assert"
 )
 
-// played is when what happened in a stop, from its start.
-type played struct {
+// drainTimes are the times of the steps of a drain, from its start.
+type drainTimes struct {
 	handedOver, left, ended time.Duration
 }
 
-// playStop plays a stop of 15 s with calls that end after some time, and with keys that
-// end after some time from when no more are started.
-func playStop(calls, keys time.Duration) played {
-	var out played
+// simulateDrain runs a drain with a timeout of 15 s. The calls end after the given time, the
+// keys after the given time from the start of the handover.
+func simulateDrain(calls, pendingKeys time.Duration) drainTimes {
+	var out drainTimes
 
 	start := time.Now()
 	since := func() time.Duration { return time.Since(start) }
 
-	stop{
-		timeout: 15 * time.Second,
-		retire:  func(time.Time) {},
-		runs:    func() int64 { return 0 },
-		close:   func() {},
-		settle:  func() {},
-		abandon: func(context.Context) {},
-		inside: func() int64 {
+	drainSequence{
+		timeout:           15 * time.Second,
+		retireConnections: func(time.Time) {},
+		gateCalls:         func() int64 { return 0 },
+		close:             func() {},
+		stopListening:     func() {},
+		abandon:           func(context.Context) {},
+		inFlight: func() int64 {
 			if since() < calls {
 				return 1
 			}
@@ -41,8 +41,8 @@
 				out.handedOver = since()
 			}
 		},
-		keys: func() int64 {
-			if since() < out.handedOver+keys {
+		pendingKeys: func() int64 {
+			if since() < out.handedOver+pendingKeys {
 				return 1
 			}
 
@@ -60,48 +60,49 @@
 	return out
 }
 
-// A call hangs at the backend server for longer than the stop may take. Without a part of
-// the time that is kept, nothing is handed over, and who waits for keys is cut off.
-func TestAStopKeepsTimeToHandOver(t *testing.T) {
+// A call hangs at the backend server for longer than the DrainTimeout. Without a reserved part
+// of the timeout, no key is handed over and callers that wait for keys lose their connections.
+func TestDrainReservesTimeForHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := playStop(time.Minute, 2*time.Second)
-		assert.Equal(t, p.handedOver, 11*time.Second)
-		assert.Equal(t, p.left, 13*time.Second)
+		d := simulateDrain(time.Minute, 2*time.Second)
+		assert.Equal(t, d.handedOver, 11*time.Second)
+		assert.Equal(t, d.left, 13*time.Second)
 
-		p = playStop(time.Minute, time.Minute)
-		assert.Equal(t, p.left, 14500*time.Millisecond)
-		assert.Equal(t, p.ended, 15*time.Second)
+		d = simulateDrain(time.Minute, time.Minute)
+		assert.Equal(t, d.left, 14500*time.Millisecond)
+		assert.Equal(t, d.ended, 15*time.Second)
 	})
 }
 
-// A call that ends in time must not be cut off because the keys were handed over before.
-func TestAStopWaitsForCallsAfterItsKeys(t *testing.T) {
+// A call that ends within the timeout must be answered, also after the keys are handed over.
+func TestDrainWaitsForCallsAfterHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := playStop(13*time.Second, time.Second)
-		assert.Equal(t, p.handedOver, 11*time.Second)
-		assert.Equal(t, p.left, 12*time.Second)
-		assert.Equal(t, p.ended, 13500*time.Millisecond)
+		d := simulateDrain(13*time.Second, time.Second)
+		assert.Equal(t, d.handedOver, 11*time.Second)
+		assert.Equal(t, d.left, 12*time.Second)
+		assert.Equal(t, d.ended, 13500*time.Millisecond)
 	})
 }
 
-// Callers are refused only once the backend server, which may call others, runs no call.
-func TestCallersAreTakenWhileTheBackendServerRunsCalls(t *testing.T) {
+// Callers' requests are rejected only once the backend server runs no call, since a running
+// call may depend on calls that the backend server makes through the node.
+func TestDrainAdmitsCallersWhileBackendServerRunsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, c := range []struct{ runs, closed time.Duration }{
+		for _, c := range []struct{ gateCalls, closed time.Duration }{
 			{0, time.Second}, {3 * time.Second, 3 * time.Second}, {time.Minute, 11 * time.Second},
 		} {
 			var retired, end, closed time.Duration
 
 			start := time.Now()
-			nothing := func(context.Context) {}
+			noop := func(context.Context) {}
 			none := func() int64 { return 0 }
 
-			stop{
-				timeout: 15 * time.Second,
-				retire:  func(at time.Time) { retired, end = time.Since(start), at.Sub(start) },
-				runs:    func() int64 { return max(0, int64(c.runs-time.Since(start))) },
-				close:   func() { closed = time.Since(start) },
-				inside:  none, keys: none, handOver: nothing, leave: nothing, settle: func() {}, abandon: nothing,
+			drainSequence{
+				timeout:           15 * time.Second,
+				retireConnections: func(at time.Time) { retired, end = time.Since(start), at.Sub(start) },
+				gateCalls:         func() int64 { return max(0, int64(c.gateCalls-time.Since(start))) },
+				close:             func() { closed = time.Since(start) },
+				inFlight:          none, pendingKeys: none, handOver: noop, leave: noop, stopListening: func() {}, abandon: noop,
 			}.run(context.Background())
 
 			assert.Equal(t, retired, time.Second)
@@ -111,12 +112,12 @@
 	})
 }
 
-// Nothing hangs, and the stop ends with its last call.
-func TestAStopEndsWithItsLastCall(t *testing.T) {
+// If no call hangs, the drain ends soon after its last call and doesn't use up its timeout.
+func TestDrainEndsAfterLastCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := playStop(3*time.Second, 0)
-		assert.Equal(t, p.handedOver, 3*time.Second)
-		assert.Equal(t, p.left, 3*time.Second)
-		assert.Equal(t, p.ended, 3500*time.Millisecond)
+		d := simulateDrain(3*time.Second, 0)
+		assert.Equal(t, d.handedOver, 3*time.Second)
+		assert.Equal(t, d.left, 3*time.Second)
+		assert.Equal(t, d.ended, 3500*time.Millisecond)
 	})
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -14,21 +14,21 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Peer methods that tell what a node holds.
+// Peer methods that return a node's status and events.
 const (
 	methodStatus   = "Node.Status"
 	methodTimeline = "Node.Timeline"
 )
 
-// askTimeout bounds how long an operator waits on a node that does not answer,
-// askAtOnce how many are asked at the same time.
+// queryTimeout bounds how long an operator's request waits for one node, and
+// maxConcurrentQueries how many nodes it contacts at the same time.
 const (
-	askTimeout = 2 * time.Second
-	askAtOnce  = 32
+	queryTimeout         = 2 * time.Second
+	maxConcurrentQueries = 32
 )
 
-// fleet makes what knows the other nodes.
-func (n *Node) fleet() {
+// initFleet creates the member table, peer discovery and gossip.
+func (n *Node) initFleet() {
 	c := n.config
 	n.table = membership.NewTable(membership.Record{
 		ID: c.ID, Incarnation: uint64(time.Now().UnixMicro()), Region: c.Region, FailureDomain: c.FailureDomain,
@@ -36,32 +36,32 @@
 	}, n.recorder)
 	n.bootstrap = bootstrap.New(n.store, n.table, c.FailureDomain)
 	n.gossip = membership.NewGossip(n.table, n.client,
-		membership.Seeds(c.Peers...), membership.Seek(n.bootstrap.Seek), membership.Version(n.holder.Number), membership.Hear(n.spreader.Hear))
+		membership.Seeds(c.Peers...), membership.Seek(n.bootstrap.Seek), membership.Version(n.holder.Number), membership.Hear(n.propagator.Hear))
 }
 
-type nothing struct{}
+type empty struct{}
 
-func (n *Node) ownStatus(context.Context, nothing) (operator.NodeStatus, error) {
-	held := n.holder.Active()
+func (n *Node) localStatus(context.Context, empty) (operator.NodeStatus, error) {
+	active := n.holder.Active()
 
 	return operator.NodeStatus{
 		ID: n.config.ID, FailureDomain: n.config.FailureDomain, Belief: membership.StateAlive.String(),
-		Version: n.holder.Number(), AcceptedAt: n.acceptedAt(), InForceSince: held.Since, Source: held.Source,
-		Heard: n.spreader.Heard(), Trouble: n.spreader.Trouble(),
+		Version: n.holder.Number(), AcceptedAt: n.acceptedAt(), InForceSince: active.Since, Source: active.Source,
+		Heard: n.propagator.Heard(), Trouble: n.propagator.Trouble(),
 		Upstream: n.table.Self().Upstream, InFlight: n.inFlight.Load() + n.gate.Running(), Known: n.table.CountReady(),
 	}, nil
 }
 
-func (n *Node) ownTimeline(_ context.Context, f timeline.Filter) ([]timeline.Entry, error) {
+func (n *Node) localTimeline(_ context.Context, f timeline.Filter) ([]timeline.Entry, error) {
 	return n.recorder.Entries(f), nil
 }
 
-// Status asks every node that is known.
+// Status collects the status of every known node.
 func (n *Node) Status(ctx context.Context) operator.Status {
 	records := n.table.Records()
 	nodes := make([]operator.NodeStatus, len(records))
 
-	n.askAll(ctx, records, func(ctx context.Context, i int, r membership.Record) {
+	n.queryAll(ctx, records, func(ctx context.Context, i int, r membership.Record) {
 		nodes[i] = n.statusOf(ctx, r)
 	})
 
@@ -75,7 +75,7 @@
 		return operator.NodeStatus{ID: r.ID, FailureDomain: r.FailureDomain, Belief: r.State.String(), Error: "left"}
 	}
 
-	if err := n.client.Do(ctx, r.PeerAddress, peer.LaneControl, methodStatus, nothing{}, &s); err != nil {
+	if err := n.client.Do(ctx, r.PeerAddress, peer.LaneControl, methodStatus, empty{}, &s); err != nil {
 		s = operator.NodeStatus{ID: r.ID, FailureDomain: r.FailureDomain, Upstream: r.Upstream, Error: err.Error()}
 	}
 
@@ -84,14 +84,14 @@
 	return s
 }
 
-// Timeline merges the events of every node that answers.
+// Timeline merges the events of all live nodes that answer.
 func (n *Node) Timeline(ctx context.Context, f timeline.Filter) []timeline.Entry {
 	var (
 		mu    sync.Mutex
 		lists [][]timeline.Entry
 	)
 
-	n.askAll(ctx, n.table.Live(), func(ctx context.Context, _ int, r membership.Record) {
+	n.queryAll(ctx, n.table.Live(), func(ctx context.Context, _ int, r membership.Record) {
 		var entries []timeline.Entry
 		if n.client.Do(ctx, r.PeerAddress, peer.LaneControl, methodTimeline, f, &entries) != nil {
 			return
@@ -106,19 +106,19 @@
 	return timeline.Merge(lists...)
 }
 
-func (n *Node) askAll(
-	ctx context.Context, records []membership.Record, ask func(context.Context, int, membership.Record),
+func (n *Node) queryAll(
+	ctx context.Context, records []membership.Record, query func(context.Context, int, membership.Record),
 ) {
 	var g errgroup.Group
 
-	g.SetLimit(askAtOnce)
+	g.SetLimit(maxConcurrentQueries)
 
 	for i, r := range records {
 		g.Go(func() error {
-			ctx, cancel := context.WithTimeout(ctx, askTimeout)
+			ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 			defer cancel()
 
-			ask(ctx, i, r)
+			query(ctx, i, r)
 
 			return nil
 		})
@@ -127,8 +127,8 @@
 	_ = g.Wait()
 }
 
-// Floor returns the newest version known here.
-func (n *Node) Floor() uint64 { return n.spreader.Heard() }
+// Floor returns the newest settings version that this node knows of.
+func (n *Node) Floor() uint64 { return n.propagator.Heard() }
 
 func (n *Node) acceptedAt() time.Time {
 	if s := n.holder.Load(); s != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,5 @@
-// Package node puts one process together: settings, requests and fleet.
+// Package node assembles a node's process from its parts: settings, membership, and the
+// serving of callers, other nodes and operators.
 //
 //	n, err := node.New(config, logger)
 //	err = n.Run(ctx) // until ctx ends, then drains
@@ -39,98 +40,98 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// ErrListen is returned if an address can't be listened on.
+// ErrListen is returned if the node can't listen on one of its addresses.
 var ErrListen = errs.New("node.listen", http.StatusServiceUnavailable, "can't listen")
 
-// Node is one process beside one backend server.
+// Node is one process, which runs on the host of one backend server.
 type Node struct {
 	config   config.Config
 	recorder *timeline.Recorder
 	draining *draining.Intake
 	inFlight atomic.Int64 // callers' requests
-	// taking ends once calls of callers are refused.
-	taking     context.Context //nolint:containedctx // as long as the node
-	stopTaking context.CancelFunc
-	// work is what calls end with; it ends once a stop gives them up.
-	work   context.Context //nolint:containedctx // as long as the node
-	giveUp context.CancelCauseFunc
-
-	server *peer.Server
-	client *peer.Client
-	faults *peer.Faults
-	keys   *credentials.Source // nil without TLS
-
-	store    *etcd.Store
-	acceptor *acceptance.Acceptor
-	holder   *propagation.Holder
-	spreader *propagation.Propagator
-	started  time.Time
+	// accepting is canceled once callers' requests are rejected.
+	accepting     context.Context //nolint:containedctx // lives as long as the node
+	stopAccepting context.CancelFunc
+	// work is the parent context of all calls; a drain cancels it to abandon them.
+	work       context.Context //nolint:containedctx // lives as long as the node
+	cancelWork context.CancelCauseFunc
+
+	server    *peer.Server
+	client    *peer.Client
+	faults    *peer.Faults
+	tlsSource *credentials.Source // nil without TLS
+
+	store      *etcd.Store
+	acceptor   *acceptance.Acceptor
+	holder     *propagation.Holder
+	propagator *propagation.Propagator
+	started    time.Time
 
 	table  *membership.Table
 	gossip *membership.Gossip
 
 	bootstrap *bootstrap.Bootstrap
 
-	queue    *admission.Queue
-	host     *upstream.Host
-	gate     *gate.Gate
-	selector *selection.Selector
-	entry    *frontend.Entry
-	home     *once.Home
-	shards   *shard.Keeper
-	register *attempt.Register
-	suspects *poison.Watch
-	serves   string // the service of the backend server that announced itself last
-	// stall notices when this process stands still.
+	queue       *admission.Queue
+	host        *upstream.Host
+	gate        *gate.Gate
+	selector    *selection.Selector
+	entry       *frontend.Entry
+	home        *once.Home
+	shards      *shard.Keeper
+	register    *attempt.Register
+	suspects    *poison.Watch
+	lastService string // service of the last announcement of the local backend server
+	// stall detects process stalls.
 	stall *stall.Watchdog
 
 	listeners      []net.Listener
 	callerListener net.Listener
-	https          []*http.Server
-	callers        *http.Server
+	httpServers    []*http.Server
+	callerServer   *http.Server
 }
 
 // New returns a node that does not listen yet.
 func New(c config.Config, logger *slog.Logger) *Node {
 	n := &Node{config: c, draining: draining.New(), stall: stall.New()}
-	n.taking, n.stopTaking = context.WithCancel(context.Background())
-	n.work, n.giveUp = context.WithCancelCause(context.Background())
+	n.accepting, n.stopAccepting = context.WithCancel(context.Background())
+	n.work, n.cancelWork = context.WithCancelCause(context.Background())
 	n.recorder = timeline.New(timeline.Node(c.ID), timeline.Logger(logger))
 	n.faults = &peer.Faults{}
 
-	links := []peer.Option{
+	peerOptions := []peer.Option{
 		peer.WithClock(n.recorder.Clock()), peer.WithLinks(n.faults), peer.Address(c.PeerAddress),
 		peer.Lost(func(address string) { n.gossip.ProbeSoon(address) }), peer.Patient(n.draining.Leaving),
 	}
 
 	if c.TLS != nil {
-		n.keys = credentials.New(credentials.Files{
+		n.tlsSource = credentials.New(credentials.Files{
 			Certificate: c.TLS.Certificate, Key: c.TLS.Key, Authority: c.TLS.Authority,
 		})
-		links = append(links, peer.WithTLS(n.keys))
+		peerOptions = append(peerOptions, peer.WithTLS(n.tlsSource))
 	}
 
-	n.server = peer.NewServer(links...)
-	n.client = peer.NewClient(links...)
-	n.settings()
-	n.fleet()
+	n.server = peer.NewServer(peerOptions...)
+	n.client = peer.NewClient(peerOptions...)
+	n.initSettings()
+	n.initFleet()
 	n.once()
-	n.calls()
-	n.methods()
+	n.initCallPath()
+	n.registerMethods()
 
 	return n
 }
 
-// methods adds what other nodes may ask of this one.
-func (n *Node) methods() {
+// registerMethods registers the handlers of requests from other nodes.
+func (n *Node) registerMethods() {
 	n.server.Handle(membership.MethodExchange, peer.Typed(n.gossip.Serve))
 	n.server.Handle(membership.MethodProbe, peer.Typed(n.gossip.ServeProbe))
 	n.server.Handle(membership.MethodDigest, peer.Typed(n.gossip.ServeDigest))
 	n.server.Handle(membership.MethodRecords, peer.Typed(n.gossip.ServeRecords))
-	n.server.Handle(gate.MethodRun, peer.Typed(within(n.work, n.gate.Serve)))
-	n.onceMethods()
-	n.server.Handle(methodStatus, peer.Typed(n.ownStatus))
-	n.server.Handle(methodTimeline, peer.Typed(n.ownTimeline))
+	n.server.Handle(gate.MethodRun, peer.Typed(withWork(n.work, n.gate.Serve)))
+	n.registerOnceMethods()
+	n.server.Handle(methodStatus, peer.Typed(n.localStatus))
+	n.server.Handle(methodTimeline, peer.Typed(n.localTimeline))
 }
 
 // Run serves until ctx ends, then drains and returns.
@@ -143,15 +144,15 @@
 
 	n.recorder.Record(event.NodeStarted, timeline.Entry{Detail: n.config.PeerAddress})
 
-	// The background work goes on while the node drains.
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// Background tasks keep running while the node drains.
+	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 
 	var running sync.WaitGroup
 
-	running.Go(func() { n.bootstrap.Run(work, n.gossip.Join) })
+	running.Go(func() { n.bootstrap.Run(background, n.gossip.Join) })
 
-	for _, f := range []func(context.Context){n.gossip.Run, n.spreader.Run, n.expire, n.announceReady, n.runOnce} {
-		running.Go(func() { f(work) })
+	for _, f := range []func(context.Context){n.gossip.Run, n.propagator.Run, n.expireAnnouncements, n.recordReady, n.runKeyTasks} {
+		running.Go(func() { f(background) })
 	}
 
 	<-ctx.Done()
@@ -165,20 +166,20 @@
 }
 
 func (n *Node) listen() error {
-	if n.keys != nil {
-		if err := n.keys.Check(); err != nil {
+	if n.tlsSource != nil {
+		if err := n.tlsSource.Check(); err != nil {
 			return err
 		}
 	}
 
-	n.callers = newHTTP(n.entryHandler())
-	n.callers.BaseContext = func(net.Listener) context.Context { return n.work }
+	n.callerServer = newHTTP(n.entryHandler())
+	n.callerServer.BaseContext = func(net.Listener) context.Context { return n.work }
 	handlers := []struct {
 		address string
 		serve   func(net.Listener)
 	}{
 		{n.config.PeerAddress, func(l net.Listener) { _ = n.server.Serve(l) }},
-		{n.config.CallerAddress, n.serveHTTP(n.callers)},
+		{n.config.CallerAddress, n.serveHTTP(n.callerServer)},
 		{n.config.ControlAddress, n.serveHTTP(newHTTP(n.controlHandler()))},
 	}
 
@@ -196,8 +197,8 @@
 			n.callerListener = l
 		}
 
-		if h.address == n.config.ControlAddress && n.keys != nil && n.config.TLS.Operators {
-			l = tls.NewListener(l, n.keys.Server(false))
+		if h.address == n.config.ControlAddress && n.tlsSource != nil && n.config.TLS.Operators {
+			l = tls.NewListener(l, n.tlsSource.Server(false))
 		}
 
 		go h.serve(l)
@@ -206,16 +207,16 @@
 	return nil
 }
 
-// headerTime bounds how long a connection may take over its request header;
-// without it idle connections of slow callers use up the process.
-const headerTime = 5 * time.Second
+// readHeaderTimeout bounds the time to read a request header; without it, slow or idle
+// connections exhaust the resources of the process.
+const readHeaderTimeout = 5 * time.Second
 
 func newHTTP(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: headerTime}
+	return &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 }
 
 func (n *Node) serveHTTP(s *http.Server) func(net.Listener) {
-	n.https = append(n.https, s)
+	n.httpServers = append(n.httpServers, s)
 
 	return func(l net.Listener) {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
@@ -228,9 +229,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 
-	for _, s := range n.https {
+	for _, s := range n.httpServers {
 		if s.Shutdown(ctx) != nil {
-			_ = s.Close() // what says nothing, or does not end
+			_ = s.Close() // idle connections, or requests that do not end
 		}
 	}
 
@@ -238,7 +239,7 @@
 		_ = l.Close()
 	}
 
-	n.flush(ctx)
+	n.waitForReplies(ctx)
 	n.server.Close()
 	n.client.Close()
 }
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -15,21 +15,21 @@
 	"github.com/pollencart/pollencart/internal/poison"
 )
 
-// once makes what keeps a call from running twice.
+// once creates the parts that keep a call from running more than once.
 func (n *Node) once() {
-	life := key.NewBootID(n.table.Self().Incarnation)
-	self := shard.Self{Node: n.config.ID, BootID: life, FailureDomain: n.config.FailureDomain}
+	bootID := key.NewBootID(n.table.Self().Incarnation)
+	self := shard.Self{Node: n.config.ID, BootID: bootID, FailureDomain: n.config.FailureDomain}
 
 	n.shards = shard.New(self, n.store, n.table, n.client,
-		shard.Recorder(n.recorder), shard.Watching(n.watching), shard.Domains(n.domains))
-	n.home = once.New(n.config.ID, life, once.Recorder(n.recorder), once.WithShards(n.shards))
-	n.register = attempt.NewRegister(life, attempt.DefaultBound)
-	n.suspects = poison.NewWatch(poison.Self{Node: n.config.ID, BootID: life, Address: n.config.PeerAddress},
+		shard.Recorder(n.recorder), shard.Watching(n.isWatcher), shard.Domains(n.failureDomains))
+	n.home = once.New(n.config.ID, bootID, once.Recorder(n.recorder), once.WithShards(n.shards))
+	n.register = attempt.NewRegister(bootID, attempt.DefaultBound)
+	n.suspects = poison.NewWatch(poison.Self{Node: n.config.ID, BootID: bootID, Address: n.config.PeerAddress},
 		n.table, n.client, n.recorder).WithStallDetector(n.stall)
 }
 
-// domains returns all failure domains of the settings in force.
-func (n *Node) domains() []string {
+// failureDomains returns all failure domains of the active settings.
+func (n *Node) failureDomains() []string {
 	snapshot := n.holder.Load()
 	if snapshot == nil {
 		return nil
@@ -46,17 +46,18 @@
 	return out
 }
 
-// onceMethods adds what homes ask of gates and entries of homes.
-func (n *Node) onceMethods() {
+// registerOnceMethods registers the requests of owner nodes to gates, of entry nodes to
+// owner nodes, and between the watches of suspects.
+func (n *Node) registerOnceMethods() {
 	for method, h := range n.suspects.Handlers() {
 		n.server.Handle(method, h)
 	}
 
-	n.server.Handle(frontend.MethodOnce, peer.Typed(within(n.work, n.entry.ServeOnce)))
+	n.server.Handle(frontend.MethodOnce, peer.Typed(withWork(n.work, n.entry.ServeOnce)))
 	n.server.Handle(once.MethodAdopt, peer.Typed(n.home.ServeAdopt(n.shards)))
 	n.server.Handle(shard.MethodPull, peer.Typed(n.shards.Serve))
 	n.server.Handle(shard.MethodPush, peer.Typed(n.shards.ServePush))
-	n.server.Handle(once.MethodEpoch, peer.Typed(func(context.Context, nothing) (once.Epoch, error) {
+	n.server.Handle(once.MethodEpoch, peer.Typed(func(context.Context, empty) (once.Epoch, error) {
 		return once.Epoch{Epoch: n.register.Epoch()}, nil
 	}))
 	n.server.Handle(once.MethodClose, peer.Typed(func(_ context.Context, t call.Ticket) (once.Closed, error) {
@@ -64,8 +65,9 @@
 	}))
 }
 
-// runOnce does the background work until ctx ends.
-func (n *Node) runOnce(ctx context.Context) {
+// runKeyTasks runs the background tasks of keys, shards, suspects and the stall watchdog until
+// ctx ends.
+func (n *Node) runKeyTasks(ctx context.Context) {
 	var running sync.WaitGroup
 
 	for _, f := range []func(context.Context){n.home.Rotate, n.shards.Run, n.stall.Run, n.suspects.Run} {
@@ -75,9 +77,9 @@
 	running.Wait()
 }
 
-// handOver gives the opaque keys of a node that leaves to others. It does not
-// hold up the drain when the platform is away; the next life of the node, or an
-// operator, then frees them.
+// handOver transfers the opaque keys of a draining node to other nodes. If the platform is
+// unavailable, it stops after limit, so that the drain continues; the next process of the
+// node, or an operator, then releases the keys.
 func (n *Node) handOver(ctx context.Context) {
 	const limit = 3 * time.Second
 
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -10,8 +10,9 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// Follow checks the settings file again at each signal until ctx ends, and tells whether a
-// restart would change anything or fail. Keys and tokens are read when they change.
+// Follow loads the settings file at each signal until ctx ends, and records whether a restart
+// would fail or change anything. It applies no change; certificates and tokens are reread
+// elsewhere when their files change.
 func (n *Node) Follow(ctx context.Context, signals <-chan os.Signal, load func() (config.Config, error)) {
 	for {
 		select {
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -14,8 +14,8 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// settings makes what brings accepted versions here.
-func (n *Node) settings() {
+// initSettings creates the parts that accept settings and propagate accepted versions.
+func (n *Node) initSettings() {
 	n.store = etcd.New(etcd.Endpoints(n.config.Platform...))
 	n.acceptor = acceptance.New(n.store)
 	n.holder = propagation.NewHolder(n.recorder)
@@ -23,41 +23,41 @@
 
 	opts := []propagation.Option{
 		propagation.Self(n.config.ID, n.config.PeerAddress, n.config.FailureDomain),
-		propagation.Members(n.domain), propagation.Others(n.others), propagation.Watching(n.watching),
+		propagation.Members(n.domainMembers), propagation.Others(n.otherAddresses), propagation.Watching(n.isWatcher),
 	}
 
-	n.spreader = propagation.New(n.holder, n.acceptor, n.store, n.client, n.recorder, append(opts, modes[n.config.Mode]...)...)
-	n.spreader.Register(n.server)
+	n.propagator = propagation.New(n.holder, n.acceptor, n.store, n.client, n.recorder, append(opts, propagationModes[n.config.Mode]...)...)
+	n.propagator.Register(n.server)
 }
 
-var modes = map[config.Mode][]propagation.Option{
+var propagationModes = map[config.Mode][]propagation.Option{
 	config.ModeFrugal:   {propagation.Frugal()},
 	config.ModePoll:     {propagation.With(propagation.StrategyPoll)},
 	config.ModeFullPush: {propagation.With(propagation.StrategyFullPush)},
 }
 
-// watchersPerDomain is how many nodes of a failure domain watch the platform:
-// one would leave a gap when its host dies, and each more costs a watch.
+// watchersPerDomain is how many nodes of a failure domain watch the platform. With one, the
+// domain has no watcher for a while when its host fails; each further one costs a watch.
 const watchersPerDomain = 2
 
-// lonely is how long a fresh process that has met nobody holds back from
-// watching the platform. All of a herd know only themselves at first, and each
-// would take itself for a watcher.
-const lonely = 3 * time.Second
+// isolationDelay is how long a new process that knows no other node waits before it may watch
+// the platform. When many nodes start together, each knows only itself at first and would
+// elect itself as a watcher.
+const isolationDelay = 3 * time.Second
 
-// watching reports whether this node is among the watchers of its domain.
-func (n *Node) watching() bool {
+// isWatcher reports whether this node is one of the watchers of its failure domain.
+func (n *Node) isWatcher() bool {
 	live := n.table.Live()
-	if len(live) < 2 && len(n.config.Peers) > 0 && time.Since(n.started) < lonely {
+	if len(live) < 2 && len(n.config.Peers) > 0 && time.Since(n.started) < isolationDelay {
 		return false
 	}
 
-	return propagation.Watches(n.config.FailureDomain, n.config.ID, n.inDomain(live), watchersPerDomain)
+	return propagation.Watches(n.config.FailureDomain, n.config.ID, n.membersInDomain(live), watchersPerDomain)
 }
 
-func (n *Node) domain() []propagation.Member { return n.inDomain(n.table.Live()) }
+func (n *Node) domainMembers() []propagation.Member { return n.membersInDomain(n.table.Live()) }
 
-func (n *Node) inDomain(live []membership.Record) []propagation.Member {
+func (n *Node) membersInDomain(live []membership.Record) []propagation.Member {
 	var out []propagation.Member
 
 	for _, r := range live {
@@ -69,8 +69,9 @@
 	return out
 }
 
-// others are the nodes that this one can ask, and the seeds while it knows none.
-func (n *Node) others() []string {
+// otherAddresses returns the peer addresses of the other live nodes, or of the seeds if it
+// knows no other node.
+func (n *Node) otherAddresses() []string {
 	var out []string
 
 	for _, r := range n.table.Live() {
@@ -92,7 +93,7 @@
 	return out
 }
 
-func (n *Node) announceReady(ctx context.Context) {
+func (n *Node) recordReady(ctx context.Context) {
 	for n.holder.Number() == 0 {
 		changed := n.holder.Changed()
 		if n.holder.Number() > 0 {
@@ -109,8 +110,8 @@
 	n.recorder.Record(event.NodeReady, timeline.Entry{Version: n.holder.Number()})
 }
 
-func (n *Node) expire(ctx context.Context) {
-	// An announcement that ran out takes no call whenever this looks at it.
+func (n *Node) expireAnnouncements(ctx context.Context) {
+	// Expired announcements receive no calls in any case, so the interval matters little.
 	const pause = 500 * time.Millisecond
 
 	for ctx.Err() == nil {
