--- a/internal/node/failure_test.go
+++ b/internal/node/failure_test.go
@@ -16,7 +16,7 @@
 	"github.com/pollencart/pollencart/internal/standin/platform"
 )
 
-// block cuts what a host sends to others.
+// block makes a host send nothing to the given peer addresses.
 func (f *fleet) block(i int, addresses ...string) {
 	f.t.Helper()
 
@@ -29,8 +29,8 @@
 	assert.Equal(f.t, resp.StatusCode, http.StatusNoContent)
 }
 
-// cut cuts the links for which it is true.
-func (f *fleet) cut(crosses func(from, to *host) bool) {
+// cutLinks blocks all links for which crosses returns true, and unblocks all others.
+func (f *fleet) cutLinks(crosses func(from, to *host) bool) {
 	f.t.Helper()
 
 	for i, from := range f.hosts {
@@ -48,8 +48,8 @@
 
 func withFaults(c *config.Config) { c.FaultInjection = true }
 
-// believed returns what a node holds of another.
-func (f *fleet) believed(by int, id string) string {
+// memberState returns the state of a node in the membership view of another.
+func (f *fleet) memberState(by int, id string) string {
 	s, err := f.operator(by).Status(f.t.Context())
 	if err != nil {
 		return ""
@@ -64,8 +64,8 @@
 	return ""
 }
 
-// know returns how many ready backend servers a node could send calls to.
-func (f *fleet) know(i int) int {
+// knownBackends returns how many ready backend servers a node knows, or -1 if it gives no status.
+func (f *fleet) knownBackends(i int) int {
 	s, err := f.operator(i).Status(f.t.Context())
 	if err != nil {
 		return -1
@@ -80,30 +80,30 @@
 	return -1
 }
 
-// The settings files name no peers, as on hosts that are replaced at any time.
-// Nodes must find each other by what their watchers keep on the platform.
-func TestFleetComesTogetherByThePlatformAlone(t *testing.T) {
+// The settings files name no peers, as on hosts that may be replaced at any time. Nodes must
+// find each other through the records that their watchers store on the platform.
+func TestFleetFormsThroughPlatformWithoutSeeds(t *testing.T) {
 	t.Parallel()
 
 	f := startFleet(t, func(c *config.Config) { c.Peers = nil })
 	f.accept()
 }
 
-// The platform is down when the whole fleet starts. Nodes must find each other by
-// the peers in their settings files.
-func TestFleetComesTogetherWithoutThePlatform(t *testing.T) {
+// The platform is down when the whole fleet starts. Nodes must find each other through the
+// peers in their settings files.
+func TestFleetFormsThroughSeedsWithoutPlatform(t *testing.T) {
 	t.Parallel()
 
 	f := startFleet(t, func(c *config.Config) { c.Platform = []string{"http://127.0.0.1:1"} })
 
 	for i := range f.hosts {
-		f.wait("all backend servers to be known on "+f.hosts[i].ID, func() bool { return f.know(i) == len(f.hosts) })
+		f.wait("all backend servers to be known on "+f.hosts[i].ID, func() bool { return f.knownBackends(i) == len(f.hosts) })
 	}
 }
 
-// The switch that cuts links must not be there for whoever reaches the control
-// address of a node that serves callers.
-func TestFaultsAreOffByDefault(t *testing.T) {
+// By default, a node must not offer fault injection at its control address: any client that
+// reaches the address could cut the node's links.
+func TestFaultInjectionIsOffByDefault(t *testing.T) {
 	t.Parallel()
 
 	f := startFleet(t)
@@ -114,32 +114,32 @@
 	assert.Equal(t, resp.StatusCode, http.StatusNotFound)
 }
 
-// A failure domain loses all others and the platform. Its callers must be served
-// by its own backend servers, the others' callers by theirs; when the cut heals a
-// version accepted meanwhile must come in force inside, with nobody's help.
-func TestAFailureDomainCutOffServesAndComesBack(t *testing.T) {
+// A failure domain loses its links to all other domains and the platform is down. Each side
+// must serve its callers from its own backend servers. After the partition heals, the domain
+// must rejoin without an operator, and a newly accepted version must become active in it.
+func TestIsolatedFailureDomainServesAndRecovers(t *testing.T) {
 	t.Parallel()
 
 	f := startFleet(t, withFaults)
 	f.accept()
 
-	inside := func(h *host) bool { return h.FailureDomain == "derby" }
-	f.cut(func(from, to *host) bool { return inside(from) != inside(to) })
+	inDomain := func(h *host) bool { return h.FailureDomain == "derby" }
+	f.cutLinks(func(from, to *host) bool { return inDomain(from) != inDomain(to) })
 	f.platform.SetFaults(platform.Faults{Down: true})
 
-	in := slices.IndexFunc(f.hosts, inside)
-	out := slices.IndexFunc(f.hosts, func(h *host) bool { return !inside(h) })
+	in := slices.IndexFunc(f.hosts, inDomain)
+	out := slices.IndexFunc(f.hosts, func(h *host) bool { return !inDomain(h) })
 
 	for _, i := range []int{in, out} {
-		own := 0
+		sameSide := 0
 
 		for _, h := range f.hosts {
-			if inside(h) == inside(f.hosts[i]) {
-				own++
+			if inDomain(h) == inDomain(f.hosts[i]) {
+				sameSide++
 			}
 		}
 
-		f.wait("only the own side to be sent calls", func() bool { return f.know(i) == own })
+		f.wait("only backend servers on the same side to be known", func() bool { return f.knownBackends(i) == sameSide })
 
 		for range 50 {
 			r := f.send(i, http.MethodGet, "/folders/1", "", nil)
@@ -148,58 +148,58 @@
 	}
 
 	f.platform.SetFaults(platform.Faults{})
-	f.cut(func(*host, *host) bool { return false })
+	f.cutLinks(func(*host, *host) bool { return false })
 	f.accept()
 }
 
-// Calls go one way between two domains and nothing comes back. No call may wait
-// longer than its deadline, and no healthy backend server be lost for good.
-func TestAOneWayCutEndsEveryCallInTime(t *testing.T) {
+// Messages pass in one direction only between two failure domains. No call may hang, and all
+// healthy backend servers must be known again after the partition heals.
+func TestCallsDoNotHangDuringOneWayPartition(t *testing.T) {
 	t.Parallel()
 
 	f := startFleet(t, withFaults)
 	f.accept()
 
-	f.cut(func(from, to *host) bool { return from.FailureDomain == "leic" && to.FailureDomain == "derby" })
+	f.cutLinks(func(from, to *host) bool { return from.FailureDomain == "leic" && to.FailureDomain == "derby" })
 
 	in := slices.IndexFunc(f.hosts, func(h *host) bool { return h.FailureDomain == "derby" })
 	served := 0
 
 	const (
-		calls = 40
-		hangs = 20 * time.Second // twenty times the route's deadline
+		calls     = 40
+		hangLimit = 20 * time.Second // twenty times the route's deadline
 	)
 
 	for range calls {
 		start := time.Now()
 		r := f.send(in, http.MethodGet, "/folders/1", "", nil)
-		assert.Assert(t, time.Since(start) < hangs)
+		assert.Assert(t, time.Since(start) < hangLimit)
 
 		if r.status == http.StatusOK {
 			served++
 		}
 	}
 
-	t.Logf("%d of %d served during the one-way cut", served, calls)
+	t.Logf("%d of %d calls served during the one-way partition", served, calls)
 	assert.Assert(t, served >= calls/2)
-	f.cut(func(*host, *host) bool { return false })
+	f.cutLinks(func(*host, *host) bool { return false })
 
 	for i := range f.hosts {
-		f.wait("all backend servers to be known again", func() bool { return f.know(i) == len(f.hosts) })
+		f.wait("all backend servers to be known again", func() bool { return f.knownBackends(i) == len(f.hosts) })
 	}
 }
 
-// A host's process hangs: connections to it are accepted and nothing ever
-// answers. Others must take it for dead and send calls elsewhere.
-func TestAHostThatAcceptsAndNeverAnswersIsTakenForDead(t *testing.T) {
+// A host accepts connections but never answers. Other nodes must consider it failed and send
+// it no calls.
+func TestSilentHostIsConsideredFailed(t *testing.T) {
 	t.Parallel()
 
 	f := startFleet(t, withFaults)
 	f.accept()
 
 	h := f.hosts[1]
-	f.cut(func(from, to *host) bool { return from == h && to != h })
-	f.wait("the silent host to be taken for dead", func() bool { return f.believed(2, h.ID) == membership.StateDead.String() })
+	f.cutLinks(func(from, to *host) bool { return from == h && to != h })
+	f.wait("the silent host to be considered failed", func() bool { return f.memberState(2, h.ID) == membership.StateDead.String() })
 
 	before := h.backend.Counts().Calls
 
@@ -209,6 +209,6 @@
 	}
 
 	assert.Equal(t, h.backend.Counts().Calls, before)
-	f.cut(func(*host, *host) bool { return false })
-	f.wait("it to be taken back", func() bool { return f.know(2) == len(f.hosts) })
+	f.cutLinks(func(*host, *host) bool { return false })
+	f.wait("the host to be known again", func() bool { return f.knownBackends(2) == len(f.hosts) })
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -26,12 +26,12 @@
 	"github.com/pollencart/pollencart/internal/standin/platform"
 )
 
-// patience bounds waits for something that must come; no test asserts on how
-// long it took.
-const patience = 60 * time.Second
+// waitTimeout bounds waits for conditions that must become true; no test asserts on how long
+// they take.
+const waitTimeout = 60 * time.Second
 
-// fleet is a deployment inside the test process: the real nodes on loopback
-// addresses, with stand-ins around them.
+// fleet is a deployment inside the test process: real nodes on loopback addresses, with
+// stand-ins for the platform and the backend servers.
 type fleet struct {
 	t        *testing.T
 	platform *platform.Platform
@@ -41,16 +41,16 @@
 
 type host struct {
 	harness.Host
-	config  config.Config
-	backend *backend.Server
-	crashes atomic.Int32
-	log     nodeLog
-	stop    context.CancelFunc
-	done    chan error
+	config     config.Config
+	backend    *backend.Server
+	crashCount atomic.Int32
+	log        nodeLog
+	stop       context.CancelFunc
+	done       chan error
 }
 
-// startFleet starts the Midlands of the examples; change may change the settings
-// files of the nodes.
+// startFleet starts the deployment of examples/midlands; change edits the settings file of
+// each node.
 func startFleet(t *testing.T, change ...func(*config.Config)) *fleet {
 	t.Helper()
 
@@ -63,7 +63,7 @@
 	f := &fleet{t: t, platform: platform.New()}
 	server := httptest.NewServer(f.platform.Handler())
 	t.Cleanup(server.Close)
-	t.Cleanup(f.keepLogs)
+	t.Cleanup(f.writeLogs)
 	f.url = server.URL
 
 	for _, h := range hosts {
@@ -87,8 +87,8 @@
 	return f
 }
 
-// startOnly starts the node of a host.
-func (f *fleet) startOnly(h *host) {
+// startNode starts the node of a host and does not wait for it.
+func (f *fleet) startNode(h *host) {
 	f.t.Helper()
 
 	ctx, stop := context.WithCancel(f.t.Context())
@@ -102,8 +102,8 @@
 // start starts the node of a host and waits until it listens.
 func (f *fleet) start(h *host) {
 	f.t.Helper()
-	f.startOnly(h)
-	f.wait("health of "+h.ID, func() bool { return statusOf("http://"+h.Control+"/healthz") == http.StatusOK })
+	f.startNode(h)
+	f.wait("health of "+h.ID, func() bool { return httpStatus("http://"+h.Control+"/healthz") == http.StatusOK })
 }
 
 func (f *fleet) startBackend(h *host) {
@@ -114,8 +114,8 @@
 	h.backend = backend.New(backend.Config{
 		Name: h.ID, Service: h.Service.Name, Slots: h.Service.Slots, Connections: h.Service.Connections,
 		Work: time.Millisecond,
-		Crash: func() { // what callers see of a process that ends: all its sockets close
-			h.crashes.Add(1)
+		Crash: func() { // closes all sockets, as the end of a process does
+			h.crashCount.Add(1)
 			stop()
 
 			_ = s.Close()
@@ -136,7 +136,7 @@
 	})
 }
 
-func statusOf(url string) int {
+func httpStatus(url string) int {
 	resp, err := http.Get(url)
 	if err != nil {
 		return 0
@@ -147,19 +147,19 @@
 	return resp.StatusCode
 }
 
-func (f *fleet) wait(what string, holds func() bool) {
+func (f *fleet) wait(what string, condition func() bool) {
 	f.t.Helper()
 
-	ctx, cancel := context.WithTimeout(f.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(f.t.Context(), waitTimeout)
 	defer cancel()
 
-	assert.NilError(f.t, harness.Wait(ctx, what, holds))
+	assert.NilError(f.t, harness.Wait(ctx, what, condition))
 }
 
 func (f *fleet) operator(i int) *operator.Client { return operator.NewClient(f.hosts[i].Control) }
 
-// accept accepts the example's tree and waits until it is in force everywhere
-// and every backend server is known.
+// accept accepts the example's tree and waits until it is active on every node and every node
+// knows all backend servers.
 func (f *fleet) accept() uint64 {
 	f.t.Helper()
 
@@ -170,7 +170,7 @@
 		File: "tree.jsonc", Tree: data, ID: ulid.Make().String(),
 	})
 	assert.NilError(f.t, err)
-	f.wait("version in force and backend servers ready", func() bool {
+	f.wait("the version to be active and all backend servers to be known", func() bool {
 		s, err := f.operator(1).Status(f.t.Context())
 		if err != nil || s.InForce != len(f.hosts) {
 			return false
@@ -191,10 +191,10 @@
 type nodeStatus = operator.NodeStatus
 
 type reply struct {
-	status int
-	header http.Header
-	answer backend.Answer
-	away   frontend.TurnedAway
+	status  int
+	header  http.Header
+	answer  backend.Answer
+	refusal frontend.TurnedAway
 }
 
 // send sends a request through a node.
@@ -220,7 +220,7 @@
 	if resp.StatusCode == http.StatusOK {
 		assert.NilError(f.t, json.NewDecoder(bytes.NewReader(data)).Decode(&r.answer))
 	} else {
-		assert.NilError(f.t, json.Unmarshal(data, &r.away), "%s", data)
+		assert.NilError(f.t, json.Unmarshal(data, &r.refusal), "%s", data)
 	}
 
 	return r
--- a/internal/node/given_up_test.go
+++ b/internal/node/given_up_test.go
@@ -16,8 +16,9 @@
 	"github.com/pollencart/pollencart/internal/standin/backend"
 )
 
-// A call that does not end in time gets an answer, not the end of its connection.
-func TestAStopAnswersTheCallsThatItGivesUp(t *testing.T) {
+// A call that does not end within the DrainTimeout must get an answer before its connection
+// is closed.
+func TestDrainAnswersAbandonedCalls(t *testing.T) {
 	t.Parallel()
 
 	for _, c := range []struct {
@@ -29,81 +30,83 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 
-			f := startFleet(t, drainIn(4*time.Second))
+			f := startFleet(t, withDrainTimeout(4*time.Second))
 			f.accept()
 
-			h := f.hosts[browser]
-			given := make(chan reply, 1)
+			h := f.hosts[browseHost]
+			replies := make(chan reply, 1)
 			l, err := dial(h.Caller)
 			assert.NilError(t, err)
 
 			go func() {
-				defer close(given)
+				defer close(replies)
 
 				r, err := l.exchange(fmt.Sprintf("%s %s HTTP/1.1\r\nHost: a\r\n%s: 60000\r\nContent-Length: 0\r\n\r\n",
 					c.method, c.path, backend.HeaderWorkMs))
 				if err == nil {
-					given <- r
+					replies <- r
 				}
 			}()
 
-			f.wait("the call", func() bool { return f.inFlight() > 0 })
+			f.wait("the call to run", func() bool { return f.inFlight() > 0 })
 			h.stop()
-			time.AfterFunc(4*time.Second, l.close) // the DrainTimeout is over
+			time.AfterFunc(4*time.Second, l.close) // the end of the DrainTimeout
 
-			r, answered := <-given
+			r, answered := <-replies
 			assert.Assert(t, answered)
-			assert.Assert(t, r.status == http.StatusBadGateway || r.status == http.StatusGatewayTimeout, "%d %+v", r.status, r.away)
-			assert.Equal(t, r.away.Ran, call.RanUnknown)
+			assert.Assert(t, r.status == http.StatusBadGateway || r.status == http.StatusGatewayTimeout, "%d %+v", r.status, r.refusal)
+			assert.Equal(t, r.refusal.Ran, call.RanUnknown)
 			assert.NilError(t, <-h.done)
 		})
 	}
 }
 
-// Callers of other nodes must hear from the node that ran their call, not of a broken connection.
-func TestAStopTellsOtherNodesWhatItGivesUp(t *testing.T) {
+// Other nodes must get an answer for each call that the draining node abandons at its gate, not
+// a broken connection.
+func TestDrainAnswersAbandonedCallsOfOtherNodes(t *testing.T) {
 	t.Parallel()
 
-	f := startFleet(t, drainIn(3*time.Second))
+	f := startFleet(t, withDrainTimeout(3*time.Second))
 	f.accept()
 
-	h := f.hosts[ledger]
-	taken, sent := f.runBeside(ledger, time.Minute)
-	beside := h.backend.InFlight()
+	h := f.hosts[ledgerHost]
+	replies, sent := f.runOnHost(ledgerHost, time.Minute)
+	localCalls := h.backend.InFlight()
 	h.stop()
 	assert.NilError(t, <-h.done)
 
-	told := strings.Count(h.log.text(), "CallNotRun")
-	assert.Assert(t, told >= beside, "%d of %d\n%s", told, beside, h.log.text())
+	reported := strings.Count(h.log.text(), "CallNotRun")
+	assert.Assert(t, reported >= localCalls, "%d of %d\n%s", reported, localCalls, h.log.text())
 
 	for range sent {
-		r := <-taken
-		assert.Check(t, r.away.ID != peer.ErrBroken.ID, "%+v\n%s", r.away, f.linesOf(r.away.Call))
-		assert.Check(t, r.away.Ran == call.RanUnknown, "%+v", r.away)
+		r := <-replies
+		assert.Check(t, r.refusal.ID != peer.ErrBroken.ID, "%+v\n%s", r.refusal, f.logLines(r.refusal.Call))
+		assert.Check(t, r.refusal.Ran == call.RanUnknown, "%+v", r.refusal)
 	}
 }
 
-// A call that waits for the home of its key must hear from it, too.
-func TestAStopTellsOtherNodesWhatBecameOfTheirKeys(t *testing.T) {
+// A call that waits at another node for the draining owner node of its key must get an answer
+// from the owner node, too.
+func TestDrainAnswersAbandonedKeysOfOtherNodes(t *testing.T) {
 	t.Parallel()
 
-	f := startFleet(t, drainIn(3*time.Second))
+	f := startFleet(t, withDrainTimeout(3*time.Second))
 	f.accept()
 
-	home := f.send(browser, http.MethodGet, "/folders/1", "", nil).header.Get(frontend.HeaderHome)
-	taken := make(chan reply, 1)
+	home := f.send(browseHost, http.MethodGet, "/folders/1", "", nil).header.Get(frontend.HeaderHome)
+	replies := make(chan reply, 1)
 
 	go func() {
-		header := upload(home + ".seat")
+		header := uploadHeader(home + ".seat")
 		header[backend.HeaderWorkMs] = "60000"
-		taken <- f.send(ledger, http.MethodPost, "/uploads/1", "a", header)
+		replies <- f.send(ledgerHost, http.MethodPost, "/uploads/1", "a", header)
 	}()
 
-	f.wait("the upload", func() bool { return f.inFlight() > 0 })
-	f.hosts[browser].stop()
+	f.wait("the upload to run", func() bool { return f.inFlight() > 0 })
+	f.hosts[browseHost].stop()
 
-	r := <-taken
-	assert.Assert(t, r.away.ID != once.ErrUnreachable.ID && r.away.ID != peer.ErrBroken.ID, "%+v", r.away)
-	assert.Equal(t, r.away.Ran, call.RanUnknown)
-	assert.NilError(t, <-f.hosts[browser].done)
+	r := <-replies
+	assert.Assert(t, r.refusal.ID != once.ErrUnreachable.ID && r.refusal.ID != peer.ErrBroken.ID, "%+v", r.refusal)
+	assert.Equal(t, r.refusal.Ran, call.RanUnknown)
+	assert.NilError(t, <-f.hosts[browseHost].done)
 }
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -34,16 +34,16 @@
 	return out
 }
 
-// uploads are the strictest calls: they may not be sent twice, and their deadline
-// of 5 s leaves room on a busy machine.
+// uploads are the strictest calls, since they must not run twice. Their deadline of 5 s leaves
+// room on a busy machine.
 var uploads = []load.Request{{Name: "uploads", Method: http.MethodPost, Path: "/uploads/", Body: "a", Weight: 1}}
 
-// ledger is a host of the service that takes uploads.
-const ledger = 4
+// ledgerHost is the index of a host of the service that handles uploads.
+const ledgerHost = 4
 
-// under makes load through the given nodes while something happens, and returns
-// what came of it.
-func under(t *testing.T, nodes []string, duration time.Duration, happens func()) load.Report {
+// runLoadDuring runs load through the given nodes while it runs action, and returns the report
+// of the load.
+func runLoadDuring(t *testing.T, nodes []string, duration time.Duration, action func()) load.Report {
 	t.Helper()
 
 	var (
@@ -56,52 +56,51 @@
 	})
 
 	time.Sleep(300 * time.Millisecond)
-	happens()
+	action()
 	wg.Wait()
 
 	return report
 }
 
-// Hosts are restarted one after the other for an upgrade while callers work. A
-// call that is lost or turned away then is a folder that does not open, for no
-// reason that a caller could understand.
+// Nodes are restarted one after the other, as for an upgrade, under load. No call may be lost
+// or rejected.
 func TestRollingRestartLosesNoCall(t *testing.T) {
 	t.Parallel()
 
 	f := startFleet(t)
 	f.accept()
 
-	for _, i := range []int{ledger, ledger + 2} {
+	for _, i := range []int{ledgerHost, ledgerHost + 2} {
 		h := f.hosts[i]
-		report := under(t, f.callersExcept(i), 4*time.Second, func() {
+		report := runLoadDuring(t, f.callersExcept(i), 4*time.Second, func() {
 			h.stop()
 			assert.NilError(t, <-h.done)
 			f.start(h)
-			f.wait("readiness of "+h.ID, func() bool { return statusOf("http://"+h.Control+"/readyz") == http.StatusOK })
+			f.wait("readiness of "+h.ID, func() bool { return httpStatus("http://"+h.Control+"/readyz") == http.StatusOK })
 		})
 
-		t.Logf("%s restarted: %d sent, %d answered, %v", h.ID, report.Total.Sent, report.Total.Answered, report.Total.Reasons)
+		t.Logf("restart of %s: %d sent, %d answered, %v", h.ID, report.Total.Sent, report.Total.Answered, report.Total.Reasons)
 		assert.Equal(t, report.Total.Answered, report.Total.Sent)
 	}
 }
 
-// A planned stop begins while callers of the stopping node wait for answers, and
-// while calls of others run beside it.
-func TestPlannedStopCutsNothingOff(t *testing.T) {
+// A drain begins while callers of the node wait for answers, and while calls of other entry
+// nodes run at its backend server. All of them must be answered.
+func TestDrainFinishesCallsInFlight(t *testing.T) {
 	t.Parallel()
 
 	f := startFleet(t)
 	f.accept()
 
-	h := f.hosts[ledger]
+	h := f.hosts[ledgerHost]
 
-	// Longer than the notice, and those of other entries longer than the own ones, so
-	// that the gate is the last to have calls inside.
-	work := map[int]string{ledger: "1300", 1: "2200"}
+	// The calls last longer than drainNotice, and the call through the other entry node lasts
+	// longest, so that the gate is the last part with a call in flight.
+	work := map[int]string{ledgerHost: "1300", 1: "2200"}
 
 	var (
-		wg     sync.WaitGroup
-		byGate atomic.Int32
+		wg        sync.WaitGroup
+		ranOnHost atomic.Int32
 	)
 
 	sent := 0
@@ -111,10 +110,10 @@
 
 			wg.Go(func() {
 				r := f.send(entry, http.MethodPost, "/uploads/1", "a", map[string]string{backend.HeaderWorkMs: ms})
-				assert.Check(t, r.status == http.StatusOK, "through %d: %d %v\n%s", entry, r.status, r.away, f.linesOf(r.away.Call))
+				assert.Check(t, r.status == http.StatusOK, "through %d: %d %v\n%s", entry, r.status, r.refusal, f.logLines(r.refusal.Call))
 
 				if r.answer.Name == h.ID {
-					byGate.Add(1)
+					ranOnHost.Add(1)
 				}
 			})
 		}
@@ -124,9 +123,9 @@
 		send()
 	}
 
-	// The stop has to find them all inside, some beside the node that stops; on a busy
-	// machine they come late, and other nodes may take them all.
-	f.wait("all calls to run, some beside the stopping node", func() bool {
+	// The drain must begin with all calls in flight, some of them at the draining gate. On a busy
+	// machine calls start late, and other gates may run all of them.
+	f.wait("all calls to run, some on the draining host", func() bool {
 		running := 0
 		for _, x := range f.hosts {
 			running += x.backend.Counts().Calls
@@ -147,22 +146,22 @@
 	h.stop()
 	wg.Wait()
 	assert.NilError(t, <-h.done)
-	assert.Assert(t, byGate.Load() > 0, "some calls ran beside the stopping node")
+	assert.Assert(t, ranOnHost.Load() > 0, "no call ran on the draining host")
 }
 
-// The backend server beside a stopping node does not know of the stop, and goes
-// on announcing that it is ready. No entry may be led to send it new calls.
-func TestAStoppingNodeStaysClosedWhileItsBackendServerRenews(t *testing.T) {
+// The backend server of a draining node keeps announcing that it is ready, since it does not
+// know of the drain. No entry node may send it new calls.
+func TestDrainingNodeGetsNoCallsWhileBackendServerAnnounces(t *testing.T) {
 	t.Parallel()
 
 	f := startFleet(t)
 	f.accept()
 
-	h := f.hosts[ledger]
+	h := f.hosts[ledgerHost]
 	slow := make(chan reply)
 
 	go func() {
-		slow <- f.send(ledger, http.MethodPost, "/uploads/1", "a", map[string]string{backend.HeaderWorkMs: "4000"})
+		slow <- f.send(ledgerHost, http.MethodPost, "/uploads/1", "a", map[string]string{backend.HeaderWorkMs: "4000"})
 	}()
 
 	time.Sleep(200 * time.Millisecond)
@@ -170,13 +169,13 @@
 	time.Sleep(1200 * time.Millisecond)
 
 	before := h.backend.Counts().Calls
-	report := under(t, f.callersExcept(ledger), time.Second, func() {})
+	report := runLoadDuring(t, f.callersExcept(ledgerHost), time.Second, func() {})
 	assert.Equal(t, report.Total.Answered, report.Total.Sent, "%v", report.Total.Reasons)
 	assert.Equal(t, h.backend.Counts().Calls, before)
 	assert.Equal(t, (<-slow).status, http.StatusOK)
 	assert.NilError(t, <-h.done)
 
-	f.wait("the others to know that it left", func() bool {
+	f.wait("the other nodes to learn that the node left", func() bool {
 		s, err := f.operator(1).Status(t.Context())
 
 		return err == nil && slices.ContainsFunc(s.Nodes, func(n nodeStatus) bool {
@@ -185,65 +184,65 @@
 	})
 }
 
-// A sweep hangs at a backend server whose node is stopped. The stop waited for it until its
-// time was over and handed nothing over: uploads that had the node for their home ended with
-// 503 or 504 and "unknown", under way or repeated. The log has 102 of the node, 303 exactly
-// one DrainTimeout later, and 501 of other nodes from then on.
-func TestACallThatHangsDoesNotKeepKeysFromBeingHandedOver(t *testing.T) {
+// A call hangs at a backend server whose node drains. If the drain waits for it until the
+// DrainTimeout and hands no keys over, uploads with keys that the node owns end with 503 or 504
+// and "unknown", both running and repeated ones. In the log, this failure shows as event 102 of
+// the node, 303 exactly one DrainTimeout later, and 501 of other nodes from then on.
+func TestHangingCallDoesNotPreventKeyHandover(t *testing.T) {
 	t.Parallel()
 
 	f := startFleet(t, func(c *config.Config) { c.DrainTimeout = settings.Duration(6 * time.Second) })
 	f.accept()
-	l := f.sharded()
+	l := f.waitForShardOwners()
 
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 
 	for i := range f.hosts {
-		go f.hang(ctx, i)
+		go f.sendHangingCall(ctx, i)
 	}
 
-	stopping := -1
+	draining := -1
 
-	f.wait("a sweep that hangs", func() bool {
-		stopping = slices.IndexFunc(f.hosts, func(h *host) bool { return h.Service.Name == "finder" && h.backend.InFlight() > 0 })
+	f.wait("a call to hang", func() bool {
+		draining = slices.IndexFunc(f.hosts, func(h *host) bool { return h.Service.Name == "finder" && h.backend.InFlight() > 0 })
 
-		return stopping >= 0
+		return draining >= 0
 	})
 
-	donation := f.keyAt(l, stopping)
-	f.known(donation)
+	donation := f.keyOwnedBy(l, draining)
+	f.waitForKnownOwners(donation)
 
-	h := f.hosts[stopping]
+	h := f.hosts[draining]
 	h.stop()
 	assert.NilError(t, <-h.done)
 
-	other := (stopping + 1) % len(f.hosts)
+	other := (draining + 1) % len(f.hosts)
 	for _, text := range []string{donation, sibling(l, donation)} {
 		f.wait("the answer of "+text, func() bool {
-			r := f.send(other, http.MethodPost, "/uploads/1", "gift aid", upload(text))
+			r := f.send(other, http.MethodPost, "/uploads/1", "gift aid", uploadHeader(text))
 
 			return r.status == http.StatusOK && (text != donation || r.header.Get(frontend.HeaderRepeat) == "true")
 		})
 	}
 
-	assert.Equal(t, f.runs(donation), 1)
+	assert.Equal(t, f.runCount(donation), 1)
 }
 
-// keyAt returns a key whose home is on a host.
-func (f *fleet) keyAt(l shard.List, host int) string {
+// keyOwnedBy returns a key that the node of the host with the given index owns.
+func (f *fleet) keyOwnedBy(l shard.List, host int) string {
 	for n := 0; ; n++ {
-		if text := fmt.Sprintf("donation-%d", n); f.hostOf(l, text) == host {
+		if text := fmt.Sprintf("donation-%d", n); f.ownerIndex(l, text) == host {
 			return text
 		}
 	}
 }
 
-// hang sends a sweep that takes longer than any stop.
-func (f *fleet) hang(ctx context.Context, i int) {
+// sendHangingCall sends a call that takes longer than any DrainTimeout.
+func (f *fleet) sendHangingCall(ctx context.Context, i int) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.hosts[i].Caller+"/archive/1", nil)
 	if err != nil {
-		panic(err) // the address is the harness's own
+		panic(err) // can't fail: the harness chose the address
 	}
 
 	req.Header.Set(backend.HeaderWorkMs, "60000")
--- a/internal/node/logs_test.go
+++ b/internal/node/logs_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// nodeLog keeps the lines of one node, since a call that goes wrong once in many runs is
-// traced from those of the run that had it.
+// nodeLog keeps the log of one node in memory, since a call that fails once in many test runs
+// can be traced only from the logs of that run.
 type nodeLog struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -38,9 +38,9 @@
 	return l.buf.String()
 }
 
-// keepLogs writes the lines of each node to a file of its own if the test fails;
-// `go test -artifacts` keeps them.
-func (f *fleet) keepLogs() {
+// writeLogs writes the log of each node to its own file if the test failed; `go test -artifacts`
+// keeps the files.
+func (f *fleet) writeLogs() {
 	if !f.t.Failed() {
 		return
 	}
@@ -55,8 +55,8 @@
 	}
 }
 
-// linesOf returns the lines of all nodes that name a call.
-func (f *fleet) linesOf(call string) string {
+// logLines returns the log lines of all nodes that contain a call's ID.
+func (f *fleet) logLines(call string) string {
 	var out strings.Builder
 
 	for _, h := range f.hosts {
@@ -70,11 +70,11 @@
 	return out.String()
 }
 
-// assertServed fails the test with the lines of a call that was not answered 200.
+// assertServed fails the test, with the log lines of the call, if its status is not 200.
 func (f *fleet) assertServed(r reply) {
 	f.t.Helper()
 
 	if r.status != http.StatusOK {
-		assert.Equal(f.t, r.status, http.StatusOK, "%+v\n%s", r.away, f.linesOf(r.away.Call))
+		assert.Equal(f.t, r.status, http.StatusOK, "%+v\n%s", r.refusal, f.logLines(r.refusal.Call))
 	}
 }
--- a/internal/node/path_test.go
+++ b/internal/node/path_test.go
@@ -15,7 +15,7 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-func TestCallsReachTheServiceOfTheirRoute(t *testing.T) {
+func TestCallsReachServiceOfTheirRoute(t *testing.T) {
 	f := startFleet(t)
 	f.accept()
 
@@ -27,10 +27,9 @@
 	}
 }
 
-// Many callers share the connections between two nodes, and answers come back
-// in another order than the requests went out. A caller that got another's
-// answer would see a stranger's folder.
-func TestCrossedAnswersReachTheirOwnCallers(t *testing.T) {
+// Many callers share the connections between two nodes, and answers arrive in another order
+// than the requests. A mix-up would give a caller the data of another one.
+func TestReorderedAnswersReachTheirOwnCallers(t *testing.T) {
 	f := startFleet(t)
 	f.accept()
 
@@ -53,11 +52,11 @@
 	wg.Wait()
 }
 
-func TestBadRequestsAreTurnedAwayAsNotRun(t *testing.T) {
+func TestBadRequestsAreRejectedAsNotRun(t *testing.T) {
 	f := startFleet(t)
 
 	r := f.send(0, http.MethodGet, "/folders/1", "", nil)
-	assert.Equal(t, r.away.ID, "entry.no_settings")
+	assert.Equal(t, r.refusal.ID, "entry.no_settings")
 
 	f.accept()
 
@@ -70,13 +69,13 @@
 		{http.MethodGet, "/folders/1", "", "entry.header", map[string]string{"Pollencart-Deadline-Ms": "soon"}},
 	} {
 		r := f.send(1, c.method, c.path, c.body, c.header)
-		assert.Equal(t, r.away.ID, c.id)
-		assert.Equal(t, string(r.away.Ran), "not-run")
-		assert.Equal(t, r.status, r.away.Code)
+		assert.Equal(t, r.refusal.ID, c.id)
+		assert.Equal(t, string(r.refusal.Ran), "not-run")
+		assert.Equal(t, r.status, r.refusal.Code)
 	}
 }
 
-func TestAVersionWithAnUnknownServiceIsRefusedWhole(t *testing.T) {
+func TestVersionWithUnknownServiceIsRejected(t *testing.T) {
 	f := startFleet(t)
 	number := f.accept()
 
@@ -104,23 +103,23 @@
 	assert.Equal(t, len(history), 1)
 }
 
-// Somebody closes a folder that takes long to open. Work that goes on for nobody
-// holds a slot that others wait for.
-func TestACallerThatHangsUpStopsTheWork(t *testing.T) {
+// A caller disconnects while its call runs. The call must be canceled, or it keeps a slot that
+// other calls wait for.
+func TestCallerDisconnectCancelsCall(t *testing.T) {
 	f := startFleet(t)
 	f.accept()
 
-	ctx, hangUp := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.hosts[0].Caller+"/folders/1", nil)
 	assert.NilError(t, err)
 	req.Header.Set(backend.HeaderWorkMs, "900")
 
-	gone := make(chan error, 1)
+	result := make(chan error, 1)
 
 	go func() {
 		_, err := http.DefaultClient.Do(req)
-		gone <- err
+		result <- err
 	}()
 
 	running := func(n int) func() bool {
@@ -134,15 +133,15 @@
 		}
 	}
 
-	f.wait("the call runs", running(1))
-	hangUp()
-	assert.ErrorIs(t, <-gone, context.Canceled)
-	f.wait("nothing runs", running(0))
+	f.wait("the call to run", running(1))
+	disconnect()
+	assert.ErrorIs(t, <-result, context.Canceled)
+	f.wait("no call to run", running(0))
 
-	cut := 0
+	canceled := 0
 	for _, h := range f.hosts {
-		cut += h.backend.Counts().Cut
+		canceled += h.backend.Counts().Cut
 	}
 
-	assert.Equal(t, cut, 1, "the backend server saw the cancellation")
+	assert.Equal(t, canceled, 1, "cancellations that the backend servers saw")
 }
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -23,38 +23,39 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// browser is a host of a service that takes no uploads.
-const browser = 0
+// browseHost is the index of a host of a service that handles no uploads.
+const browseHost = 0
 
-func drainIn(d time.Duration) func(*config.Config) {
+func withDrainTimeout(d time.Duration) func(*config.Config) {
 	return func(c *config.Config) { c.DrainTimeout = settings.Duration(d) }
 }
 
-// link speaks HTTP on one connection, and says whether it ended without an answer.
-type link struct {
+// httpConn is an HTTP client on a single connection; its errors show whether the connection
+// ended without an answer.
+type httpConn struct {
 	conn net.Conn
 	in   *bufio.Reader
-	last bool // the answer was the last of the connection
+	last bool // the server closes the connection after the last answer
 }
 
-func dial(address string) (*link, error) {
+func dial(address string) (*httpConn, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 
-	return &link{conn: c, in: bufio.NewReader(c)}, nil
+	return &httpConn{conn: c, in: bufio.NewReader(c)}, nil
 }
 
-func (c *link) close() { _ = c.conn.Close() }
+func (c *httpConn) close() { _ = c.conn.Close() }
 
-// get sends a call that has a time limit and waits for its whole answer.
-func (c *link) get(id, path string, limit, work time.Duration) (reply, error) {
+// get sends a call with a caller timeout and reads its whole answer.
+func (c *httpConn) get(id, path string, timeout, work time.Duration) (reply, error) {
 	return c.exchange(fmt.Sprintf("GET %s HTTP/1.1\r\nHost: a\r\n%s: %s\r\n%s: %d\r\n%s: %d\r\n\r\n",
-		path, frontend.HeaderCall, id, frontend.HeaderDeadline, limit.Milliseconds(), backend.HeaderWorkMs, work.Milliseconds()))
+		path, frontend.HeaderCall, id, frontend.HeaderDeadline, timeout.Milliseconds(), backend.HeaderWorkMs, work.Milliseconds()))
 }
 
-func (c *link) exchange(request string) (reply, error) {
+func (c *httpConn) exchange(request string) (reply, error) {
 	if _, err := io.WriteString(c.conn, request); err != nil {
 		return reply{}, err
 	}
@@ -62,7 +63,7 @@
 	return c.answer()
 }
 
-func (c *link) answer() (reply, error) {
+func (c *httpConn) answer() (reply, error) {
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return reply{}, err
@@ -76,31 +77,31 @@
 	c.last = resp.Close
 	r := reply{status: resp.StatusCode, header: resp.Header}
 
-	return r, json.Unmarshal(data, &r.away)
+	return r, json.Unmarshal(data, &r.refusal)
 }
 
-// assertRefused checks that a call was refused since the node stops, and can go elsewhere.
-func assertRefused(t *testing.T, r reply) {
+// assertRejectedByDrain checks that a call was rejected as not run because the node drains.
+func assertRejectedByDrain(t *testing.T, r reply) {
 	t.Helper()
 
 	assert.Equal(t, r.status, http.StatusServiceUnavailable)
-	assert.Equal(t, r.away.ID, "entry.leaving")
-	assert.Equal(t, r.away.Ran, call.RanNo)
+	assert.Equal(t, r.refusal.ID, "entry.leaving")
+	assert.Equal(t, r.refusal.Ran, call.RanNo)
 	assert.Assert(t, r.header.Get("Retry-After") != "")
 }
 
-// stayers are callers of one host that go on until its process has ended.
-type stayers struct {
+// persistentCallers call one node until its process has terminated.
+type persistentCallers struct {
 	address string
 
-	mu       sync.Mutex
-	sent     int
-	statuses map[int]int
-	unnamed  int
-	cut      []string // calls whose connection ended without an answer
+	mu                sync.Mutex
+	sent              int
+	statuses          map[int]int
+	withoutRetryAfter int
+	unanswered        []string // calls whose connection ended without an answer
 }
 
-func (s *stayers) name() string {
+func (s *persistentCallers) nextID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -109,16 +110,16 @@
 	return "stayer-" + strconv.Itoa(s.sent) + "."
 }
 
-// call makes one call, and reports whether the connection may be used again.
-func (s *stayers) call(c *link, work time.Duration) bool {
-	id := s.name()
+// call makes one call and reports whether the connection can be reused.
+func (s *persistentCallers) call(c *httpConn, work time.Duration) bool {
+	id := s.nextID()
 	r, err := c.get(id, "/folders/1", time.Second, work)
 
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	if err != nil {
-		s.cut = append(s.cut, id)
+		s.unanswered = append(s.unanswered, id)
 
 		return false
 	}
@@ -126,19 +127,19 @@
 	s.statuses[r.status]++
 
 	if r.status == http.StatusServiceUnavailable && r.header.Get("Retry-After") == "" {
-		s.unnamed++
+		s.withoutRetryAfter++
 	}
 
 	return !c.last
 }
 
-// until makes calls until ctx ends: on kept connections, on new ones, and on some that say
-// nothing for a while.
-func (s *stayers) until(ctx context.Context, calling *sync.WaitGroup) {
+// start starts goroutines that make calls until ctx ends, some of them on connections that are
+// idle at first.
+func (s *persistentCallers) start(ctx context.Context, calling *sync.WaitGroup) {
 	const callers = 3
 
 	for range callers {
-		for _, silent := range []time.Duration{0, 0, 300 * time.Millisecond} {
+		for _, idle := range []time.Duration{0, 0, 300 * time.Millisecond} {
 			calling.Go(func() {
 				for ctx.Err() == nil {
 					c, err := dial(s.address)
@@ -148,7 +149,7 @@
 						continue
 					}
 
-					time.Sleep(silent)
+					time.Sleep(idle)
 
 					for s.call(c, 20*time.Millisecond) && ctx.Err() == nil {
 					}
@@ -160,20 +161,21 @@
 	}
 }
 
-// Callers that nobody takes out of use must not keep a stop open, nor lose a call that ran.
-func TestAStopEndsWhileItsCallersGoOn(t *testing.T) {
+// Callers that keep calling a draining node must neither delay the end of the drain nor lose
+// the answer of a call that ran.
+func TestDrainEndsWhileCallersContinue(t *testing.T) {
 	t.Parallel()
 
-	f := startFleet(t, drainIn(6*time.Second))
+	f := startFleet(t, withDrainTimeout(6*time.Second))
 	f.accept()
 
-	h := f.hosts[browser]
-	s := &stayers{address: h.Caller, statuses: map[int]int{}}
+	h := f.hosts[browseHost]
+	s := &persistentCallers{address: h.Caller, statuses: map[int]int{}}
 
 	var calling sync.WaitGroup
 
 	ctx, cancel := context.WithCancel(t.Context())
-	s.until(ctx, &calling)
+	s.start(ctx, &calling)
 	time.Sleep(500 * time.Millisecond)
 	h.stop()
 	assert.NilError(t, <-h.done)
@@ -182,42 +184,43 @@
 
 	ran := 0
 
-	for _, id := range s.cut {
-		if strings.Contains(f.linesOf(id), "CallRun") {
+	for _, id := range s.unanswered {
+		if strings.Contains(f.logLines(id), "CallRun") {
 			ran++
 		}
 	}
 
-	t.Logf("%d calls, answers %v, cut off %d, of these ran %d", s.sent, s.statuses, len(s.cut), ran)
+	t.Logf("%d calls, answers %v, %d unanswered, of which %d ran", s.sent, s.statuses, len(s.unanswered), ran)
 	assert.Equal(t, ran, 0)
-	assert.Equal(t, s.unnamed, 0)
+	assert.Equal(t, s.withoutRetryAfter, 0)
 	assert.Assert(t, s.statuses[http.StatusOK] > 0)
 	assert.Assert(t, s.statuses[http.StatusServiceUnavailable] > 0)
 }
 
-// A call that comes once a stop takes none must be refused by word, at once, and not run.
-func TestAStopRefusesByWordWhatItCannotEnd(t *testing.T) {
+// A call that arrives after the node has closed its intake must get an explicit rejection and
+// must not run.
+func TestDrainRejectsLateCallsExplicitly(t *testing.T) {
 	t.Parallel()
 
-	f := startFleet(t, drainIn(9*time.Second))
+	f := startFleet(t, withDrainTimeout(9*time.Second))
 	f.accept()
 
-	h := f.hosts[browser]
-	taken := make(chan reply)
+	h := f.hosts[browseHost]
+	replies := make(chan reply)
 
 	go func() {
-		taken <- f.send(browser, http.MethodPost, "/uploads/1", "a", map[string]string{backend.HeaderWorkMs: "3500"})
+		replies <- f.send(browseHost, http.MethodPost, "/uploads/1", "a", map[string]string{backend.HeaderWorkMs: "3500"})
 	}()
 
-	f.wait("the upload", func() bool { return f.inFlight() > 0 })
+	f.wait("the upload to run", func() bool { return f.inFlight() > 0 })
 	h.stop()
 	time.Sleep(500 * time.Millisecond)
 
-	early, err := dial(h.Caller)
+	idleConn, err := dial(h.Caller)
 	assert.NilError(t, err)
 	time.Sleep(time.Second)
 
-	for n, c := range []*link{early, nil, nil} {
+	for n, c := range []*httpConn{idleConn, nil, nil} {
 		if c == nil {
 			c, err = dial(h.Caller)
 			assert.NilError(t, err)
@@ -226,16 +229,16 @@
 		id := "late-" + strconv.Itoa(n) + "."
 		r, err := c.get(id, "/folders/1", time.Second, 0)
 		assert.NilError(t, err)
-		assertRefused(t, r)
-		assert.Assert(t, !strings.Contains(f.linesOf(id), "CallRun"))
+		assertRejectedByDrain(t, r)
+		assert.Assert(t, !strings.Contains(f.logLines(id), "CallRun"))
 		c.close()
 	}
 
-	assert.Equal(t, (<-taken).status, http.StatusOK)
+	assert.Equal(t, (<-replies).status, http.StatusOK)
 	assert.NilError(t, <-h.done)
 }
 
-// inFlight counts what the backend servers run.
+// inFlight counts the calls that run at all backend servers.
 func (f *fleet) inFlight() int {
 	n := 0
 	for _, h := range f.hosts {
@@ -245,79 +248,82 @@
 	return n
 }
 
-// runBeside sends uploads through another node until one runs beside a node.
-func (f *fleet) runBeside(i int, work time.Duration) (taken chan reply, sent int) {
+// runOnHost sends uploads through another node until one runs at the backend server of host i.
+func (f *fleet) runOnHost(i int, work time.Duration) (replies chan reply, sent int) {
 	const most = 64
 
-	taken = make(chan reply, most)
+	replies = make(chan reply, most)
 	header := map[string]string{backend.HeaderWorkMs: strconv.FormatInt(work.Milliseconds(), 10)}
 
-	f.wait("an upload beside "+f.hosts[i].ID, func() bool {
+	f.wait("an upload to run on "+f.hosts[i].ID, func() bool {
 		sent++
 
-		go func() { taken <- f.send(browser, http.MethodPost, "/uploads/1", "a", header) }()
+		go func() { replies <- f.send(browseHost, http.MethodPost, "/uploads/1", "a", header) }()
 
 		time.Sleep(20 * time.Millisecond)
 
 		return f.hosts[i].backend.InFlight() > 0 || sent == most
 	})
 
-	return taken, sent
+	return replies, sent
 }
 
-// The backend server still runs a call, which fails if the calls that it makes itself do.
-func TestAStoppingNodeTakesCallsOfItsBackendServer(t *testing.T) {
+// While the backend server of a draining node runs a call, the node must admit calls, since the
+// running call may depend on calls that the backend server makes through the node.
+func TestDrainingNodeAdmitsCallsOfItsBackendServer(t *testing.T) {
 	t.Parallel()
 
-	f := startFleet(t, drainIn(9*time.Second))
+	f := startFleet(t, withDrainTimeout(9*time.Second))
 	f.accept()
 
-	h := f.hosts[ledger]
-	taken, sent := f.runBeside(ledger, 3500*time.Millisecond)
+	h := f.hosts[ledgerHost]
+	replies, sent := f.runOnHost(ledgerHost, 3500*time.Millisecond)
 	h.stop()
 	time.Sleep(1500 * time.Millisecond)
 
-	r := f.send(ledger, http.MethodGet, "/folders/1", "", nil)
+	r := f.send(ledgerHost, http.MethodGet, "/folders/1", "", nil)
 	assert.Equal(t, r.status, http.StatusOK)
 
-	// Its time limit is after the end of the process.
-	r = f.send(ledger, http.MethodPost, "/archive/1", "", nil)
-	assertRefused(t, r)
+	// The deadline of this call is after the end of the drain.
+	r = f.send(ledgerHost, http.MethodPost, "/archive/1", "", nil)
+	assertRejectedByDrain(t, r)
 
 	for range sent {
-		assert.Equal(t, (<-taken).status, http.StatusOK)
+		assert.Equal(t, (<-replies).status, http.StatusOK)
 	}
 
 	assert.NilError(t, <-h.done)
 }
 
-// A call that ends in time must not be cut off because other nodes were told of the stop before.
-func TestACallThatEndsAfterItsNodeLeftIsAnswered(t *testing.T) {
+// A call that ends within the DrainTimeout must be answered, also after the node has announced
+// its departure.
+func TestCallThatEndsAfterDepartureIsAnswered(t *testing.T) {
 	t.Parallel()
 
-	f := startFleet(t, drainIn(6*time.Second))
+	f := startFleet(t, withDrainTimeout(6*time.Second))
 	f.accept()
 
-	h := f.hosts[ledger]
-	taken, sent := f.runBeside(ledger, 4850*time.Millisecond)
+	h := f.hosts[ledgerHost]
+	replies, sent := f.runOnHost(ledgerHost, 4850*time.Millisecond)
 	h.stop()
 
 	for range sent {
-		r := <-taken
-		assert.Check(t, r.status == http.StatusOK, "%d %+v\n%s", r.status, r.away, f.linesOf(r.away.Call))
+		r := <-replies
+		assert.Check(t, r.status == http.StatusOK, "%d %+v\n%s", r.status, r.refusal, f.logLines(r.refusal.Call))
 	}
 
 	assert.NilError(t, <-h.done)
 }
 
-// A caller that sends its body as slowly as it likes must not keep a stop open, nor lose its connection.
-func TestAStopRefusesACallWhoseBodyHasNotCome(t *testing.T) {
+// A caller that sends its request body slowly must not delay the end of the drain, and must get
+// a rejection before its connection is closed.
+func TestDrainRejectsCallWithIncompleteBody(t *testing.T) {
 	t.Parallel()
 
-	f := startFleet(t, drainIn(4*time.Second))
+	f := startFleet(t, withDrainTimeout(4*time.Second))
 	f.accept()
 
-	h := f.hosts[browser]
+	h := f.hosts[browseHost]
 	l, err := dial(h.Caller)
 	assert.NilError(t, err)
 
@@ -328,7 +334,7 @@
 
 	r, err := l.answer()
 	assert.NilError(t, err)
-	assertRefused(t, r)
+	assertRejectedByDrain(t, r)
 	assert.NilError(t, <-h.done)
 	assert.Assert(t, !strings.Contains(h.log.text(), "NodeCutsOff"))
 }
--- a/internal/node/token_test.go
+++ b/internal/node/token_test.go
@@ -16,9 +16,9 @@
 	"github.com/pollencart/pollencart/internal/operator"
 )
 
-// The control address can be reached by more than operators. Without the token
-// nobody may read the tree or accept one; what the host itself needs goes on.
-func TestOperatorsNeedTheirToken(t *testing.T) {
+// Other clients than operators can reach the control address. Operator requests need the token;
+// health checks work without it.
+func TestOperatorRequestsRequireToken(t *testing.T) {
 	t.Parallel()
 
 	file := filepath.Join(t.TempDir(), "token")
@@ -34,8 +34,8 @@
 
 	_, err := operator.NewClient(control, operator.WithToken("secret")).Status(t.Context())
 	assert.NilError(t, err)
-	assert.Equal(t, statusOf("http://"+control+"/healthz"), http.StatusOK)
-	assert.Equal(t, statusOf("http://"+control+"/v1/tree"), http.StatusUnauthorized)
+	assert.Equal(t, httpStatus("http://"+control+"/healthz"), http.StatusOK)
+	assert.Equal(t, httpStatus("http://"+control+"/v1/tree"), http.StatusUnauthorized)
 
 	assert.NilError(t, os.WriteFile(file, []byte("other\n"), 0o600))
 
@@ -43,8 +43,8 @@
 	assert.NilError(t, err)
 }
 
-// All links between nodes and towards operators are encrypted and proved, and the
-// whole path works.
+// With TLS between nodes, and later at the control address of one node, calls and operator
+// requests must work.
 func TestFleetWithTLS(t *testing.T) {
 	t.Parallel()
 
@@ -64,7 +64,7 @@
 	own := *h.config.TLS
 	own.Operators = true
 	h.config.TLS = &own
-	f.startOnly(h)
+	f.startNode(h)
 
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(authority.PEM)
@@ -72,10 +72,10 @@
 	client := operator.NewClient(h.Control, operator.WithTLS(&tls.Config{
 		RootCAs: pool, ServerName: credentials.Name, MinVersion: tls.VersionTLS13,
 	}))
-	f.wait("the control address with TLS", func() bool {
+	f.wait("the control address to serve TLS", func() bool {
 		_, err := client.Status(t.Context())
 
 		return err == nil
 	})
-	assert.Assert(t, statusOf("http://"+h.Control+"/healthz") != http.StatusOK)
+	assert.Assert(t, httpStatus("http://"+h.Control+"/healthz") != http.StatusOK)
 }
