--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -11,8 +11,8 @@
 	"github.com/pollencart/pollencart/internal/idle"
 )
 
-// Lane keeps kinds of traffic on connections of their own, so that a large
-// answer to a call does not hold up a heartbeat.
+// Lane separates kinds of traffic: each lane has its own connections, so that a large
+// answer to a call does not delay a heartbeat.
 type Lane uint8
 
 // The lanes.
@@ -27,10 +27,10 @@
 
 	mu    sync.Mutex
 	conns map[connKey]*clientConn
-	// retired are connections that were replaced, with requests that still wait on them.
+	// retired holds connections that were replaced and still have pending requests.
 	retired map[*clientConn]bool
-	// failed is when a connection could not be made last.
-	failed map[connKey]time.Time
+	// dialFailed holds the time of the last failed dial, until a dial succeeds.
+	dialFailed map[connKey]time.Time
 
 	Received atomic.Int64
 	Sent     atomic.Int64
@@ -41,7 +41,7 @@
 	lane    Lane
 }
 
-// Exchange is a request and its answer, in bytes of their bodies.
+// Exchange reports an answered request with the sizes of both bodies in bytes.
 type Exchange struct {
 	Address   string
 	Method    string
@@ -51,34 +51,34 @@
 // NewClient returns a client without connections.
 func NewClient(opts ...Option) *Client {
 	return &Client{
-		options: newOptions(opts...),
-		conns:   map[connKey]*clientConn{},
-		retired: map[*clientConn]bool{},
-		failed:  map[connKey]time.Time{},
+		options:    newOptions(opts...),
+		conns:      map[connKey]*clientConn{},
+		retired:    map[*clientConn]bool{},
+		dialFailed: map[connKey]time.Time{},
 	}
 }
 
-// Do sends a request and decodes its answer. The error is ErrUnreachable only
-// if no byte left this process.
+// Do sends a request and decodes its answer. It returns ErrUnreachable only if no byte
+// of the request left this process.
 func (c *Client) Do(ctx context.Context, address string, lane Lane, method string, in, out any) error {
-	return c.do(ctx, connKey{address, lane}, method, in, out, waits)
+	return c.do(ctx, connKey{address, lane}, method, in, out, waitOnSuspect)
 }
 
-// DoElsewhere is Do for a request that can be sent to another peer as well: it gives
-// up with ErrSilent as soon as the connection is in doubt.
+// DoElsewhere is Do for a request that the caller can send to another peer instead: it
+// fails with ErrSilent as soon as the connection is suspect.
 func (c *Client) DoElsewhere(ctx context.Context, address string, lane Lane, method string, in, out any) error {
-	return c.do(ctx, connKey{address, lane}, method, in, out, leaves)
+	return c.do(ctx, connKey{address, lane}, method, in, out, failOnSuspect)
 }
 
-// patience says what a request does on a connection that is in doubt.
-type patience bool
+// suspectPolicy selects what a request does while its connection is suspect.
+type suspectPolicy bool
 
 const (
-	waits  patience = false
-	leaves patience = true
+	waitOnSuspect suspectPolicy = false
+	failOnSuspect suspectPolicy = true
 )
 
-func (c *Client) do(ctx context.Context, key connKey, method string, in, out any, p patience) error {
+func (c *Client) do(ctx context.Context, key connKey, method string, in, out any, p suspectPolicy) error {
 	e := newEncoder()
 	defer e.free()
 
@@ -111,9 +111,9 @@
 	return Decode(answer.Body, out)
 }
 
-// blocked behaves as a cut network does: nothing comes back until the caller
-// gives up or a connection attempt would have.
-func (c *Client) blocked(ctx context.Context, address string) error {
+// simulateCut behaves like a partitioned network: it returns when ctx ends or the dial
+// timeout has passed.
+func (c *Client) simulateCut(ctx context.Context, address string) error {
 	idle.For(ctx, c.options.DialTimeout)
 
 	return ErrUnreachable.With("%s: link is cut", address)
@@ -128,7 +128,7 @@
 	return max(1, time.Until(deadline).Milliseconds())
 }
 
-// connect returns the connection that is there, or begins to make one; c.mu is
+// connect returns the current connection for key, or starts to dial one. c.mu must be
 // held.
 func (c *Client) connect(key connKey) *clientConn {
 	cc := c.conns[key]
@@ -142,19 +142,19 @@
 	return cc
 }
 
-// note keeps when a connection could not be made.
-func (c *Client) note(key connKey, failed bool) {
+// recordDial records the outcome of a dial.
+func (c *Client) recordDial(key connKey, dialFailed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	if failed {
-		c.failed[key] = time.Now()
+	if dialFailed {
+		c.dialFailed[key] = time.Now()
 	} else {
-		delete(c.failed, key)
+		delete(c.dialFailed, key)
 	}
 }
 
-func (c *Client) forget(cc *clientConn) {
+func (c *Client) remove(cc *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -181,8 +181,8 @@
 	}
 }
 
-// open connects and, with keys, has both ends prove themselves. No request was
-// sent if it fails.
+// open dials the address and, if TLS is configured, completes the handshake in which both
+// ends authenticate. If it fails, no request was sent.
 func (c *Client) open(ctx context.Context, address string) (net.Conn, error) {
 	var d net.Dialer
 
--- a/internal/peer/clientconn.go
+++ b/internal/peer/clientconn.go
@@ -9,12 +9,13 @@
 	"time"
 )
 
-// exchange sends a request on the shared connection. A connection that was closed
-// for idleness just now is opened again: no byte of the request left on it.
-func (c *Client) exchange(ctx context.Context, key connKey, f *Frame, p patience) (*Frame, error) {
+// exchange sends a request on the shared connection and waits for the answer. If the
+// connection was closed as idle in the meantime, no byte of the request was sent on it, so
+// the request is retried on a new one.
+func (c *Client) exchange(ctx context.Context, key connKey, f *Frame, p suspectPolicy) (*Frame, error) {
 	for {
 		if c.options.Links.Blocked(key.address) {
-			return nil, c.blocked(ctx, key.address)
+			return nil, c.simulateCut(ctx, key.address)
 		}
 
 		conn, err := c.conn(ctx, key, p)
@@ -23,7 +24,7 @@
 		}
 
 		answer, err := conn.exchange(ctx, f, p)
-		if !errors.Is(err, errIdle) {
+		if !errors.Is(err, errClosedIdle) {
 			return answer, err
 		}
 	}
@@ -37,27 +38,28 @@
 	conn    net.Conn
 	out     *writer
 
-	spoke chan struct{} // closed once something was heard
-	// replacement is made while the connection is in doubt; the client's lock guards it.
+	firstFrame chan struct{} // closed after the first frame was read
+	// replacement is set while a replacement of this suspect connection is dialled; guarded
+	// by client.mu.
 	replacement *replacement
 
-	mu      sync.Mutex
-	pending map[uint64]chan *Frame
-	lastID  uint64
-	broken  bool
-	idle    bool
-	retired bool   // was replaced
-	lastUse uint64 // the newest ID when idleness was looked at
+	mu            sync.Mutex
+	pending       map[uint64]chan *Frame
+	lastID        uint64
+	broken        bool
+	closedIdle    bool
+	retired       bool   // replaced by another connection
+	lastCheckedID uint64 // value of lastID at the last idle check
 
-	silence silence
+	liveness liveness
 }
 
-// errIdle is returned for a connection that was closed since nobody used it.
-var errIdle = errors.New("connection was closed for idleness")
+// errClosedIdle is returned for a connection that was closed because it was idle.
+var errClosedIdle = errors.New("connection was closed because it was idle")
 
 func newClientConn(c *Client, key connKey) *clientConn {
 	return &clientConn{
-		client: c, key: key, ready: make(chan struct{}), spoke: make(chan struct{}), pending: map[uint64]chan *Frame{},
+		client: c, key: key, ready: make(chan struct{}), firstFrame: make(chan struct{}), pending: map[uint64]chan *Frame{},
 	}
 }
 
@@ -70,8 +72,8 @@
 	conn, err := cc.client.open(ctx, cc.key.address)
 	if err != nil {
 		cc.dialErr = ErrUnreachable.With("%s", cc.key.address).Wrap(err)
-		cc.client.forget(cc)
-		cc.client.note(cc.key, true)
+		cc.client.remove(cc)
+		cc.client.recordDial(cc.key, true)
 
 		return
 	}
@@ -79,7 +81,7 @@
 	cc.client.mu.Lock()
 	cc.conn = conn
 	cc.client.mu.Unlock()
-	cc.client.note(cc.key, false)
+	cc.client.recordDial(cc.key, false)
 	cc.out = newWriter(conn, &cc.client.Sent)
 	cc.hello()
 
@@ -90,7 +92,7 @@
 	}
 }
 
-// hello tells the peer who opened the connection.
+// hello sends the address of this node to the peer.
 func (cc *clientConn) hello() {
 	address := cc.client.options.Address
 	if address == "" {
@@ -104,9 +106,9 @@
 
 func (cc *clientConn) closeIdle() {
 	cc.mu.Lock()
-	unused := cc.lastID == cc.lastUse && len(cc.pending) == 0
-	cc.lastUse = cc.lastID
-	cc.idle = unused
+	unused := cc.lastID == cc.lastCheckedID && len(cc.pending) == 0
+	cc.lastCheckedID = cc.lastID
+	cc.closedIdle = unused
 	done := unused || cc.broken
 	cc.mu.Unlock()
 
@@ -129,12 +131,12 @@
 		}
 
 		if n == 0 {
-			close(cc.spoke)
+			close(cc.firstFrame)
 		}
 
 		cc.client.Received.Add(int64(size))
 		cc.client.options.Clock.Observe(f.Clock)
-		cc.silence.heard()
+		cc.liveness.observeRead()
 
 		if f.Kind == KindAnswer {
 			cc.deliver(f)
@@ -145,40 +147,41 @@
 }
 
 func (cc *clientConn) deliver(f *Frame) {
-	waiting := cc.take(f.ID)
+	waiting := cc.removePending(f.ID)
 	if waiting != nil {
 		waiting <- f
 	}
 }
 
-// take returns who waits for the answer of a request, or nil, and no longer waits for it.
-func (cc *clientConn) take(id uint64) chan *Frame {
+// removePending removes a pending request and returns the channel that waits for its
+// answer, or nil.
+func (cc *clientConn) removePending(id uint64) chan *Frame {
 	cc.mu.Lock()
 	waiting := cc.pending[id]
 	delete(cc.pending, id)
 
 	if len(cc.pending) == 0 {
-		cc.silence.rest()
+		cc.liveness.stop()
 	}
 
-	unused := cc.unused()
+	retiredAndIdle := cc.retiredAndIdle()
 	cc.mu.Unlock()
 
-	if unused {
+	if retiredAndIdle {
 		cc.fail()
 	}
 
 	return waiting
 }
 
-// fail gives the connection up with all requests that wait on it. It is forgotten first, so
-// that new requests find another one, and once more after it is marked, since it may have
-// been taken into use as a replacement in between.
+// fail closes the connection and fails its pending requests. It is removed from the client
+// first, so that new requests use another connection, and again after it is marked broken,
+// because it may have been installed as a replacement in between.
 func (cc *clientConn) fail() {
-	cc.client.forget(cc)
+	cc.client.remove(cc)
 	_ = cc.conn.Close()
 	cc.markBroken()
-	cc.client.forget(cc)
+	cc.client.remove(cc)
 }
 
 func (cc *clientConn) markBroken() {
@@ -199,14 +202,14 @@
 	return cc.broken
 }
 
-func (cc *clientConn) exchange(ctx context.Context, f *Frame, p patience) (*Frame, error) {
+func (cc *clientConn) exchange(ctx context.Context, f *Frame, p suspectPolicy) (*Frame, error) {
 	waiting := make(chan *Frame, 1)
 
 	cc.mu.Lock()
-	if cc.idle {
+	if cc.closedIdle {
 		cc.mu.Unlock()
 
-		return nil, errIdle
+		return nil, errClosedIdle
 	}
 
 	if cc.broken {
@@ -218,7 +221,7 @@
 	cc.lastID++
 	f.ID = cc.lastID
 	cc.pending[f.ID] = waiting
-	cc.silence.watch(cc)
+	cc.liveness.start(cc)
 	cc.mu.Unlock()
 
 	e := newEncoder()
@@ -239,10 +242,10 @@
 	return cc.await(ctx, f.ID, waiting, p)
 }
 
-func (cc *clientConn) await(ctx context.Context, id uint64, waiting chan *Frame, p patience) (*Frame, error) {
-	var doubts <-chan struct{} // nil is never ready
-	if p == leaves {
-		doubts = cc.silence.doubts()
+func (cc *clientConn) await(ctx context.Context, id uint64, waiting chan *Frame, p suspectPolicy) (*Frame, error) {
+	var whenSuspect <-chan struct{} // nil blocks forever
+	if p == failOnSuspect {
+		whenSuspect = cc.liveness.whenSuspect()
 	}
 
 	for {
@@ -253,9 +256,9 @@
 			}
 
 			return answer, nil
-		case <-doubts:
+		case <-whenSuspect:
 			if cc.client.options.Patient() {
-				doubts = nil // waits on
+				whenSuspect = nil // keep waiting for the answer
 
 				continue
 			}
@@ -271,12 +274,13 @@
 	}
 }
 
-// abandon tells the peer that nobody waits any more, so that it stops working.
+// abandon drops a pending request and sends a cancel frame, so that the peer stops working
+// on it.
 func (cc *clientConn) abandon(id uint64) {
 	data, err := Encode(&Frame{Kind: KindCancel, ID: id})
 	if err == nil && !cc.client.options.Links.Blocked(cc.key.address) {
 		_ = cc.out.write(data)
 	}
 
-	cc.take(id)
+	cc.removePending(id)
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -8,11 +8,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxPooled bounds the buffers that are kept, so that one large answer does not
-// hold its memory for good.
+// maxPooled bounds the buffers that are returned to the pool, so that one large answer
+// does not keep its memory allocated.
 const maxPooled = 64 << 10
 
-// encoder makes the bytes of one frame in a buffer that is used again.
+// encoder encodes one frame into a reusable buffer.
 type encoder struct {
 	buf     bytes.Buffer
 	msgpack *msgpack.Encoder
@@ -33,7 +33,7 @@
 	}
 }
 
-// message encodes a message alone; the bytes hold until free.
+// message encodes a message without a frame. The returned bytes are valid until free.
 func (e *encoder) message(v any) ([]byte, error) {
 	e.buf.Reset()
 
@@ -44,14 +44,15 @@
 	return e.buf.Bytes(), nil
 }
 
-// noLength holds the place of the length until it is known.
-var noLength [lengthBytes]byte
+// lengthPlaceholder reserves space for the length prefix, which is set once the frame is
+// encoded.
+var lengthPlaceholder [lengthBytes]byte
 
-// frame encodes the frame with its length in front: its fields, then the message
-// if there is one, else f.Body.
+// frame encodes a frame with its length prefix: the fields of f, then message, or f.Body
+// if message is nil.
 func (e *encoder) frame(f *Frame, message any) error {
 	e.buf.Reset()
-	e.buf.Write(noLength[:])
+	e.buf.Write(lengthPlaceholder[:])
 
 	if err := e.msgpack.Encode(f); err != nil {
 		return ErrFrameInvalid.Wrap(err)
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// decoder reads messages out of bytes in memory.
+// decoder decodes messages from a byte slice.
 type decoder struct {
 	data    bytes.Reader
 	msgpack *msgpack.Decoder
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// writer sends whole frames on a shared connection. The last of several
-// concurrent writers flushes, so that a burst costs one system call.
+// writer writes whole frames to a shared connection. Of several concurrent writers only the
+// last one flushes, so that a burst costs one system call.
 type writer struct {
 	conn    net.Conn
 	waiting atomic.Int32
@@ -23,8 +23,8 @@
 	return &writer{conn: conn, sent: sent, buf: bufio.NewWriterSize(conn, writeBuffer)}
 }
 
-// writeTimeout bounds a write to a peer that does not read. Without it all who
-// share the connection wait on its lock, past their deadlines.
+// writeTimeout bounds a write to a peer that does not read. Without it, all requests on the
+// connection would wait for the write lock past their deadlines.
 const writeTimeout = time.Second
 
 const (
@@ -53,14 +53,14 @@
 	return err
 }
 
-// flush sends what was written. The last of several writers does so by itself; on a busy
-// host it may not have run yet when the connection is closed, and the answer of the one
-// before it would be cut off though it counts as sent.
+// flush writes out the buffer. The last concurrent writer normally flushes, but on a busy
+// host the connection may be closed before it runs, which would lose answers of earlier
+// writers that count as sent.
 func (w *writer) flush() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
 	if w.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) == nil {
-		_ = w.buf.Flush() // a peer that is gone misses nothing
+		_ = w.buf.Flush() // nothing is lost if the peer has terminated
 	}
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -1,9 +1,9 @@
-// Package peer carries typed messages between nodes: msgpack in length-prefixed
-// frames over TCP.
+// Package peer carries typed messages between nodes as msgpack in length-prefixed frames
+// over TCP.
 //
-// Many requests share a connection. Each has a number, and an answer goes to
-// the request with its number only, so that late or crossed answers can't reach
-// another caller; an answer without a waiting request is dropped.
+// Requests share connections. Each request has an ID and its answer carries the same ID, so
+// that late or reordered answers never reach another request. An answer without a pending
+// request is dropped.
 //
 // # Usage
 //
@@ -27,8 +27,8 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// MaxFrame bounds a frame. A peer that announces more is cut off before memory
-// is set aside for it; without the bound one broken length takes the node down.
+// MaxFrame bounds a frame in bytes. The connection of a peer that announces more is closed
+// before memory is allocated; otherwise one corrupt length would exhaust the node's memory.
 const MaxFrame = 8 << 20
 
 const lengthBytes = 4
@@ -46,7 +46,7 @@
 	ErrNoMethod = errs.New("peer.method", http.StatusNotImplemented, "unknown method")
 )
 
-// Kind tells frames apart.
+// Kind is the type of a frame.
 type Kind uint8
 
 // The kinds of frames.
@@ -54,15 +54,15 @@
 	KindRequest Kind = iota + 1
 	KindAnswer
 	KindCancel
-	// KindHello is the first frame of a connection; its Method is the peer address
-	// of the node that opened it.
+	// KindHello is the first frame of a connection. Its Method is the peer address of the node
+	// that opened the connection.
 	KindHello
-	// KindPing asks whether the other end still reads; KindPong answers.
+	// KindPing checks whether the other end still reads; KindPong is the reply.
 	KindPing
 	KindPong
 )
 
-// Frame is what travels.
+// Frame is the unit of transmission on a connection.
 type Frame struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -73,12 +73,12 @@
 	RemainingMs int64
 	Fault       *errs.Error
 
-	// Body is the message. It follows the other fields as bytes of its own, so
-	// that it is neither encoded twice nor copied when it is read.
+	// Body is the encoded message. It follows the other fields as raw bytes, so that it is
+	// neither encoded twice nor copied on reading.
 	Body []byte `msgpack:"-"`
 }
 
-// Check reports whether a decoded frame can be used.
+// Check returns an error if a decoded frame is invalid.
 func (f *Frame) Check() error {
 	if f.Kind < KindRequest || f.Kind > KindPong {
 		return ErrFrameInvalid.With("kind %d", f.Kind)
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// Encode returns the bytes of a frame with its length in front.
+// Encode returns a frame with its length prefix.
 func Encode(f *Frame) ([]byte, error) {
 	e := newEncoder()
 	defer e.free()
@@ -103,8 +103,9 @@
 	return bytes.Clone(e.buf.Bytes()), nil
 }
 
-// Read reads one frame and returns it with its size. A connection that ends
-// between frames gives io.EOF, one that ends inside a frame ErrFrameShort.
+// Read reads one frame and returns it with its size in bytes, including the length prefix.
+// It returns io.EOF if the connection ends between frames and ErrFrameShort if it ends within
+// a frame.
 func Read(r *bufio.Reader) (*Frame, int, error) {
 	var head [lengthBytes]byte
 	if _, err := io.ReadFull(r, head[:1]); err != nil {
@@ -137,14 +138,14 @@
 	return &f, lengthBytes + len(body), nil
 }
 
-// Decode decodes a message and lets it check itself.
+// Decode decodes a message and calls its Check method if it has one.
 func Decode(data []byte, out any) error {
 	_, err := decode(data, out)
 
 	return err
 }
 
-// decode returns the bytes that follow the message too.
+// decode is Decode that also returns the bytes after the message.
 func decode(data []byte, out any) ([]byte, error) {
 	d := decoders.Get().(*decoder)
 	defer d.free()
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -12,7 +12,7 @@
 	"github.com/pollencart/pollencart/internal/peer"
 )
 
-func TestFrameComesBackAsItWent(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	data, err := peer.Encode(&peer.Frame{Kind: peer.KindRequest, ID: 7, Method: "Ping", Body: []byte{0xc0}})
 	assert.NilError(t, err)
 
@@ -23,24 +23,24 @@
 	assert.Equal(t, f.Method, "Ping")
 }
 
-// A host dies in the middle of sending. The caller must get an error, never a
-// short answer that looks whole.
-func TestFrameCutShortIsAnError(t *testing.T) {
+// A host terminates while it sends a frame. The read must fail and not return a truncated
+// answer as a whole one.
+func TestTruncatedFrameIsAnError(t *testing.T) {
 	data, err := peer.Encode(&peer.Frame{Kind: peer.KindAnswer, ID: 7, Body: []byte{0xc0}})
 	assert.NilError(t, err)
 
 	for n := 1; n < len(data); n++ {
 		_, _, err := peer.Read(bufio.NewReader(bytes.NewReader(data[:n])))
-		assert.ErrorIs(t, err, peer.ErrFrameShort, "cut after %d bytes", n)
+		assert.ErrorIs(t, err, peer.ErrFrameShort, "truncated after %d bytes", n)
 	}
 
 	_, _, err = peer.Read(bufio.NewReader(bytes.NewReader(nil)))
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// A broken or hostile peer announces a frame of gigabytes. Without the limit the
-// node would set the memory aside and be killed.
-func TestOversizedFrameIsRefusedBeforeItIsRead(t *testing.T) {
+// A faulty or hostile peer announces a frame of gigabytes. Without the limit, the node would
+// allocate the memory and be killed.
+func TestOversizedFrameIsRejectedBeforeItIsRead(t *testing.T) {
 	var head [4]byte
 	binary.BigEndian.PutUint32(head[:], peer.MaxFrame+1)
 
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -15,32 +15,33 @@
 	Text string `msgpack:"Text"`
 }
 
-// patience bounds waits for what must come; short is for what must not come.
+// testTimeout bounds waits for expected events; shortTimeout bounds waits for events that
+// must not happen.
 const (
-	patience = 20 * time.Second
-	short    = 100 * time.Millisecond
+	testTimeout  = 20 * time.Second
+	shortTimeout = 100 * time.Millisecond
 )
 
-// end is one node's server and client.
-type end struct {
+// endpoint is the server and client of one node.
+type endpoint struct {
 	address string
 	faults  *peer.Faults
 	server  *peer.Server
 	client  *peer.Client
-	lost    chan string
+	failed  chan string
 	timeout time.Duration // of a ping
 }
 
-func newEnd(t *testing.T, opts ...peer.Option) *end {
+func newEndpoint(t *testing.T, opts ...peer.Option) *endpoint {
 	t.Helper()
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 
-	e := &end{address: l.Addr().String(), faults: &peer.Faults{}, lost: make(chan string, 100), timeout: patience}
+	e := &endpoint{address: l.Addr().String(), faults: &peer.Faults{}, failed: make(chan string, 100), timeout: testTimeout}
 	opts = append([]peer.Option{
-		peer.WithLinks(e.faults), peer.Address(e.address), peer.WithDialTimeout(patience),
-		peer.Lost(func(a string) { e.lost <- a }),
+		peer.WithLinks(e.faults), peer.Address(e.address), peer.WithDialTimeout(testTimeout),
+		peer.Lost(func(a string) { e.failed <- a }),
 	}, opts...)
 	e.server = peer.NewServer(opts...)
 	e.client = peer.NewClient(opts...)
@@ -57,7 +58,7 @@
 	return e
 }
 
-func (e *end) ping(ctx context.Context, to *end) error {
+func (e *endpoint) ping(ctx context.Context, to *endpoint) error {
 	ctx, cancel := context.WithTimeout(ctx, e.timeout)
 	defer cancel()
 
@@ -66,29 +67,29 @@
 	return e.client.Do(ctx, to.address, peer.LaneControl, "Ping", ping{Text: "a"}, &out)
 }
 
-// A cut must stop answers too, on connections that were open before: an
-// experiment that cut only new requests would prove nothing about calls under way.
-func TestACutStopsRequestsAndAnswersOnOpenConnections(t *testing.T) {
-	a, b := newEnd(t), newEnd(t)
+// Blocking a link must also stop answers on connections that are already open. Otherwise an
+// experiment would only cut new requests and not affect calls in flight.
+func TestBlockedLinkStopsRequestsAndAnswersOnOpenConnections(t *testing.T) {
+	a, b := newEndpoint(t), newEndpoint(t)
 	assert.NilError(t, a.ping(t.Context(), b))
 	assert.NilError(t, b.ping(t.Context(), a))
 
-	a.timeout, b.timeout = short, short
+	a.timeout, b.timeout = shortTimeout, shortTimeout
 	b.faults.Block(a.address)
 	assert.ErrorIs(t, b.ping(t.Context(), a), peer.ErrUnreachable)
 	assert.ErrorIs(t, a.ping(t.Context(), b), peer.ErrBroken)
-	assert.Equal(t, <-a.lost, b.address)
+	assert.Equal(t, <-a.failed, b.address)
 
-	a.timeout, b.timeout = patience, patience
+	a.timeout, b.timeout = testTimeout, testTimeout
 	b.faults.Block()
 	assert.NilError(t, a.ping(t.Context(), b))
 	assert.NilError(t, b.ping(t.Context(), a))
 }
 
-// Probes of random nodes would leave a connection to each of thousands of nodes.
-// Closing the unused ones must not cost a request that comes at that moment.
-func TestIdleConnectionsAreClosedAndOpenedAgain(t *testing.T) {
-	a, b := newEnd(t, peer.WithIdleTimeout(2*time.Millisecond)), newEnd(t)
+// Probes of random nodes would leave a connection open to each of thousands of nodes. Closing
+// idle connections must not fail a request that is sent at the same moment.
+func TestIdleConnectionsAreClosedAndReopened(t *testing.T) {
+	a, b := newEndpoint(t, peer.WithIdleTimeout(2*time.Millisecond)), newEndpoint(t)
 
 	for i := range 300 {
 		assert.NilError(t, a.ping(t.Context(), b), "request %d", i)
@@ -96,18 +97,18 @@
 	}
 }
 
-// A host accepts connections and never answers. Whoever waits on it must get away
-// after its own time, and a node must come to know that it does not answer.
-func TestAHostThatNeverAnswersIsNotWaitedFor(t *testing.T) {
+// A host accepts connections and never answers. The request must fail after its own timeout,
+// and the node must be notified that the host does not answer.
+func TestRequestToHostThatNeverAnswersTimesOut(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 
 	defer l.Close()
 
-	a := newEnd(t)
-	a.timeout = short
-	silent := &end{address: l.Addr().String()}
+	a := newEndpoint(t)
+	a.timeout = shortTimeout
+	silent := &endpoint{address: l.Addr().String()}
 
 	assert.ErrorIs(t, a.ping(t.Context(), silent), peer.ErrBroken)
-	assert.Equal(t, <-a.lost, silent.address)
+	assert.Equal(t, <-a.failed, silent.address)
 }
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -9,60 +9,61 @@
 
 // Defaults of the options.
 const (
-	// DefaultDialTimeout bounds how long a call waits on a host that is gone:
-	// hosts are milliseconds apart, so a second means that nobody is there.
+	// DefaultDialTimeout bounds how long a call waits for a host that no longer runs. Round
+	// trips between hosts take milliseconds, so a host that does not accept within a second
+	// is considered unreachable.
 	DefaultDialTimeout = time.Second
-	// DefaultMaxConns leaves room for two lanes from each node of a large
-	// service and for the members that gossip at the same time.
+	// DefaultMaxConns allows two lanes from each node of a large service and for the members
+	// that gossip at the same time.
 	DefaultMaxConns = 4096
-	// DefaultMaxInFlight bounds the requests of one connection.
+	// DefaultMaxInFlight bounds the concurrent requests of one connection.
 	DefaultMaxInFlight = 1024
-	// DefaultHelloTimeout bounds a connection that says nothing.
+	// DefaultHelloTimeout bounds the time until the first whole frame of a connection.
 	DefaultHelloTimeout = 5 * time.Second
-	// DefaultIdleTimeout closes connections that probes of random nodes opened. A
-	// node that kept them all would hold thousands for one probe an hour each.
+	// DefaultIdleTimeout is when idle control connections are closed. Without it, probes of
+	// random nodes would keep thousands of connections open for one probe an hour each.
 	DefaultIdleTimeout = 10 * time.Second
 )
 
-// Keys gives the keys in use.
+// Keys provides the current TLS configurations.
 type Keys interface {
-	Server(prove bool) *tls.Config
+	Server(verifyClient bool) *tls.Config
 	Client() (*tls.Config, error)
 }
 
-// Clock stamps messages.
+// Clock provides the logical time that is sent with messages.
 type Clock interface {
 	Now() timeline.Stamp
 	Observe(timeline.Stamp)
 }
 
-// Links tells which links are cut; tests and experiments cut them.
+// Links reports which links are blocked; tests and experiments inject faults through it.
 type Links interface {
 	Blocked(address string) bool
 }
 
 // Options of a client or server.
 type Options struct {
-	// Address is the peer address of this node, told to those it connects to.
+	// Address is the peer address of this node, announced to the peers it connects to.
 	Address     string
 	Clock       Clock
 	Links       Links
 	DialTimeout time.Duration
 	MaxConns    int
 	MaxInFlight int
-	// TLS has both ends of a connection prove themselves; nil is in the clear.
+	// TLS provides mutual authentication; nil means plaintext.
 	TLS Keys
 	// HelloTimeout bounds the time until the first whole frame of a connection.
 	HelloTimeout time.Duration
-	// IdleTimeout is how long a connection for control is kept unused.
+	// IdleTimeout is how long an unused control connection is kept open.
 	IdleTimeout time.Duration
-	// Lost is told of peer addresses that a request could not reach.
+	// Lost is called with the peer address of each request that got no answer.
 	Lost func(address string)
-	// Exchanged is told of each request that was answered.
+	// Exchanged is called for each answered request.
 	Exchanged func(Exchange)
-	// Patient reports whether requests wait on connections that say nothing: during a
-	// planned stop nothing may be given up that a peer works at, and the host has little
-	// processor time.
+	// Patient reports whether requests keep waiting on suspect connections instead of
+	// failing. It is true while a node drains: the peer may still be working on the requests,
+	// and the host has little processor time.
 	Patient func() bool
 }
 
@@ -72,7 +73,7 @@
 func newOptions(opts ...Option) Options {
 	o := Options{
 		Clock:       &timeline.Clock{},
-		Links:       noCuts{},
+		Links:       noFaults{},
 		DialTimeout: DefaultDialTimeout,
 		MaxConns:    DefaultMaxConns,
 		MaxInFlight: DefaultMaxInFlight,
@@ -90,42 +91,43 @@
 	return o
 }
 
-// Address sets the peer address that others are told.
+// Address sets the peer address of this node that is announced to peers.
 func Address(a string) Option { return func(o *Options) { o.Address = a } }
 
-// Lost sets who is told of peer addresses that a request could not reach.
+// Lost sets the callback for peer addresses of requests that got no answer.
 func Lost(f func(address string)) Option { return func(o *Options) { o.Lost = f } }
 
-// Exchanged sets who is told of each request that was answered.
+// Exchanged sets the callback for answered requests.
 func Exchanged(f func(Exchange)) Option { return func(o *Options) { o.Exchanged = f } }
 
-// Patient sets what reports whether requests wait on connections that say nothing.
+// Patient sets the function that reports whether requests keep waiting on suspect
+// connections.
 func Patient(f func() bool) Option { return func(o *Options) { o.Patient = f } }
 
-// WithIdleTimeout sets how long a connection for control is kept unused.
+// WithIdleTimeout sets how long an unused control connection is kept open.
 func WithIdleTimeout(d time.Duration) Option { return func(o *Options) { o.IdleTimeout = d } }
 
-// WithTLS sets the keys of both ends.
+// WithTLS enables mutual TLS with the given keys.
 func WithTLS(k Keys) Option { return func(o *Options) { o.TLS = k } }
 
-// WithHelloTimeout bounds the time until the first whole frame.
+// WithHelloTimeout bounds the time until the first whole frame of a connection.
 func WithHelloTimeout(d time.Duration) Option { return func(o *Options) { o.HelloTimeout = d } }
 
-// WithClock sets the clock.
+// WithClock sets the logical clock.
 func WithClock(c Clock) Option { return func(o *Options) { o.Clock = c } }
 
-// WithLinks sets the switch that cuts links.
+// WithLinks sets the fault injection of links.
 func WithLinks(l Links) Option { return func(o *Options) { o.Links = l } }
 
-// WithDialTimeout bounds connection attempts.
+// WithDialTimeout bounds a dial, including the TLS handshake.
 func WithDialTimeout(d time.Duration) Option { return func(o *Options) { o.DialTimeout = d } }
 
 // WithMaxConns bounds the connections of a server.
 func WithMaxConns(n int) Option { return func(o *Options) { o.MaxConns = n } }
 
-// WithMaxInFlight bounds the requests of one connection.
+// WithMaxInFlight bounds the concurrent requests of one connection.
 func WithMaxInFlight(n int) Option { return func(o *Options) { o.MaxInFlight = n } }
 
-type noCuts struct{}
+type noFaults struct{}
 
-func (noCuts) Blocked(string) bool { return false }
+func (noFaults) Blocked(string) bool { return false }
--- a/internal/peer/replace.go
+++ b/internal/peer/replace.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// replacement is a connection made in place of one that is in doubt.
+// replacement is a connection that is dialled to replace a suspect one.
 type replacement struct {
 	conn *clientConn
-	done chan struct{} // closed once it is in use or could not be made
+	done chan struct{} // closed when conn is installed or has failed
 	err  error         // set before done is closed
 }
 
-// conn returns a connection for a new request, which is not in doubt.
+// conn returns a connection for a new request that is not suspect.
 //
-// What goes wrong otherwise: the link is back, or the other host forgot this connection
-// only. A request that is put on it runs there, and ends with it when it is given up: nobody
-// knows whether it ran. One sees CallUnknown with peer.broken some milliseconds after the
-// call came. While no other connection has answered, the request is not sent at all, and
-// its caller can be told so.
-func (c *Client) conn(ctx context.Context, key connKey, p patience) (*clientConn, error) {
+// A suspect connection may still deliver requests, for example when the link has recovered or
+// only the other host lost its connection state. A request sent on it would run, and fail
+// with the connection milliseconds later: its caller gets CallUnknown with peer.broken. Until
+// another connection has answered, the request is therefore not sent, so that its caller
+// learns that it did not run.
+func (c *Client) conn(ctx context.Context, key connKey, p suspectPolicy) (*clientConn, error) {
 	for {
-		cc, err := c.made(ctx, key)
-		if err != nil || !cc.silence.isInDoubt() {
+		cc, err := c.currentConn(ctx, key)
+		if err != nil || !cc.liveness.isSuspect() {
 			return cc, err
 		}
 
-		if err := c.replaced(ctx, cc, p); err != nil {
+		if err := c.awaitReplacement(ctx, cc, p); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// made returns the connection that is there, or a new one.
-func (c *Client) made(ctx context.Context, key connKey) (*clientConn, error) {
+// currentConn returns the current connection, or dials one, and waits until it is open.
+func (c *Client) currentConn(ctx context.Context, key connKey) (*clientConn, error) {
 	c.mu.Lock()
 	cc := c.connect(key)
 	c.mu.Unlock()
@@ -46,26 +46,26 @@
 	}
 }
 
-// replaced waits until the connection is replaced, or out of doubt.
-func (c *Client) replaced(ctx context.Context, cc *clientConn, p patience) error {
-	r := c.replace(cc)
+// awaitReplacement waits until the connection is replaced or no longer suspect.
+func (c *Client) awaitReplacement(ctx context.Context, cc *clientConn, p suspectPolicy) error {
+	r := c.startReplacement(cc)
 
-	if p == leaves {
+	if p == failOnSuspect {
 		return ErrUnreachable.With("%s: the connection is in doubt", cc.key.address)
 	}
 
 	select {
 	case <-r.done:
 		return r.err
-	case <-cc.silence.trusts():
+	case <-cc.liveness.whenCleared():
 		return nil
 	case <-ctx.Done():
 		return ErrUnreachable.With("%s: the connection is in doubt", cc.key.address).Wrap(ctx.Err())
 	}
 }
 
-// replace begins to make another connection unless one is on its way.
-func (c *Client) replace(cc *clientConn) *replacement {
+// startReplacement dials another connection unless that is already in progress.
+func (c *Client) startReplacement(cc *clientConn) *replacement {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -78,15 +78,15 @@
 	return cc.replacement
 }
 
-// tryReplace takes the new connection into use once the other end has said something on it: a
-// link that is cut may well take connections.
+// tryReplace installs the new connection after the peer has sent a frame on it: a
+// partitioned link may still accept connections.
 func (c *Client) tryReplace(cc *clientConn, r *replacement) {
 	defer close(r.done)
 
 	r.conn.dial()
-	r.err = r.conn.prove()
+	r.err = r.conn.verify()
 
-	if r.err == nil && c.use(r.conn, cc) {
+	if r.err == nil && c.install(r.conn, cc) {
 		cc.retire()
 	} else if r.conn.dialErr == nil {
 		r.conn.fail()
@@ -98,9 +98,8 @@
 	cc.replacement = nil
 }
 
-// use puts a connection in the place of another one, unless that was done meanwhile, or it
-// has ended already.
-func (c *Client) use(next, cc *clientConn) bool {
+// install replaces cc with next, unless cc has already been replaced or next is broken.
+func (c *Client) install(next, cc *clientConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -114,17 +113,17 @@
 	return true
 }
 
-// prove asks the other end of a new connection to say something.
-func (cc *clientConn) prove() error {
+// verify pings the peer on a new connection and waits for its first frame.
+func (cc *clientConn) verify() error {
 	if cc.dialErr != nil {
 		return cc.dialErr
 	}
 
-	cc.silence.ask(cc)
+	cc.liveness.ping(cc)
 
 	select {
-	case <-cc.spoke:
-	case <-time.After(giveUpAfter):
+	case <-cc.firstFrame:
+	case <-time.After(failAfter):
 		return ErrUnreachable.With("%s: nothing is heard on a new connection", cc.key.address)
 	}
 
@@ -135,17 +134,18 @@
 	return nil
 }
 
-// retire closes the connection once nothing waits on it.
+// retire closes the connection once no request is pending on it.
 func (cc *clientConn) retire() {
 	cc.mu.Lock()
 	cc.retired = true
-	unused := cc.unused()
+	retiredAndIdle := cc.retiredAndIdle()
 	cc.mu.Unlock()
 
-	if unused {
+	if retiredAndIdle {
 		cc.fail()
 	}
 }
 
-// unused reports whether the connection was replaced and nothing waits on it; cc.mu is held.
-func (cc *clientConn) unused() bool { return cc.retired && len(cc.pending) == 0 }
+// retiredAndIdle reports whether the connection was replaced and no request is pending on
+// it. cc.mu must be held.
+func (cc *clientConn) retiredAndIdle() bool { return cc.retired && len(cc.pending) == 0 }
--- a/internal/peer/replace_test.go
+++ b/internal/peer/replace_test.go
@@ -9,8 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// speakOnce answers the first question on each connection and closes it.
-func speakOnce(t *testing.T) (address string) {
+// answerOneFrame starts a server that answers the first frame on each connection with a pong
+// and closes the connection.
+func answerOneFrame(t *testing.T) (address string) {
 	t.Helper()
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,43 +36,43 @@
 	return l.Addr().String()
 }
 
-// A host comes back from a cut and restarts in the same moment: the connection that replaces
-// the old one ends while it is taken into use. Kept, it would refuse all calls to that host
-// for good, since nobody looks for another one.
-func TestAReplacementThatEndedIsNotKept(t *testing.T) {
-	address := speakOnce(t)
+// A host becomes reachable again and restarts at once, so the replacement connection closes
+// while it is installed. If it stayed installed, all requests to the host would fail for
+// good, because nothing would replace it.
+func TestBrokenReplacementIsRemoved(t *testing.T) {
+	address := answerOneFrame(t)
 
 	for range 200 {
 		c := NewClient()
 		key := connKey{address, LaneCalls}
-		here, there := net.Pipe()
+		local, remote := net.Pipe()
 		old := newClientConn(c, key)
-		old.conn = here
+		old.conn = local
 		c.conns[key] = old
 
-		r := c.replace(old)
+		r := c.startReplacement(old)
 		<-r.done
 
-		until(t, r.conn.isBroken)
-		until(t, func() bool {
+		waitUntil(t, r.conn.isBroken)
+		waitUntil(t, func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 
 			return c.conns[key] != r.conn
 		})
 
-		_ = here.Close()
-		_ = there.Close()
+		_ = local.Close()
+		_ = remote.Close()
 	}
 }
 
-// until waits for what must come.
-func until(t *testing.T, done func() bool) {
+// waitUntil polls until done returns true.
+func waitUntil(t *testing.T, done func() bool) {
 	t.Helper()
 
-	const patience = 5 * time.Second
+	const timeout = 5 * time.Second
 
-	for deadline := time.Now().Add(patience); !done(); {
+	for deadline := time.Now().Add(timeout); !done(); {
 		assert.Assert(t, time.Now().Before(deadline))
 		time.Sleep(100 * time.Microsecond)
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -13,10 +13,10 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Handler answers one request.
+// Handler handles one request and returns its answer.
 type Handler func(ctx context.Context, body []byte) (any, error)
 
-// Typed makes a handler of a function with typed messages.
+// Typed returns a handler that decodes the request for a function with typed messages.
 func Typed[In, Out any](f func(context.Context, In) (Out, error)) Handler {
 	return func(ctx context.Context, body []byte) (any, error) {
 		var in In
@@ -28,14 +28,14 @@
 	}
 }
 
-// Server answers requests of other nodes.
+// Server handles requests of other nodes.
 type Server struct {
 	options  Options
 	handlers map[string]Handler
 
-	mu    sync.Mutex
-	conns map[net.Conn]*writer // nil until both ends have proved themselves
-	done  bool
+	mu     sync.Mutex
+	conns  map[net.Conn]*writer // nil until the handshake is complete
+	closed bool
 
 	Received atomic.Int64
 	Sent     atomic.Int64
@@ -43,15 +43,15 @@
 	running atomic.Int64
 }
 
-// NewServer returns a server without methods.
+// NewServer returns a server without handlers.
 func NewServer(opts ...Option) *Server {
 	return &Server{options: newOptions(opts...), handlers: map[string]Handler{}, conns: map[net.Conn]*writer{}}
 }
 
-// Handle adds a method; all are added before Serve.
+// Handle registers the handler of a method. It must not be called after Serve.
 func (s *Server) Handle(method string, h Handler) { s.handlers[method] = h }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
@@ -69,13 +69,13 @@
 	}
 }
 
-// track refuses connections over the limit, so that a flood of them can't take
-// the memory that running calls need.
+// track registers a connection. It rejects connections over the limit, so that a flood of
+// them can't use up the memory of requests in flight.
 func (s *Server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if s.done || len(s.conns) >= s.options.MaxConns {
+	if s.closed || len(s.conns) >= s.options.MaxConns {
 		return false
 	}
 
@@ -84,16 +84,16 @@
 	return true
 }
 
-// Running returns how many requests have no answer yet that was handed to the
-// connection. A server that is closed before they are none cuts answers off.
+// Running returns the number of requests whose answer is not written yet. Closing the
+// server while it is above zero loses answers.
 func (s *Server) Running() int64 { return s.running.Load() }
 
-// Close ends all connections, after the answers that were handed to them.
+// Close closes all connections after flushing the answers that are already written.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.done = true
+	s.closed = true
 
 	var wg sync.WaitGroup
 
@@ -110,8 +110,8 @@
 	wg.Wait()
 }
 
-// writes sets who writes on a connection.
-func (s *Server) writes(conn net.Conn, out *writer) {
+// setWriter sets the writer of a connection.
+func (s *Server) setWriter(conn net.Conn, out *writer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -129,7 +129,7 @@
 		_ = raw.Close()
 	}()
 
-	conn, err := s.prove(raw)
+	conn, err := s.handshake(raw)
 	if err != nil {
 		return
 	}
@@ -140,7 +140,7 @@
 		slots:   make(chan struct{}, s.options.MaxInFlight),
 		running: map[uint64]context.CancelFunc{},
 	}
-	s.writes(raw, sc.out)
+	s.setWriter(raw, sc.out)
 
 	in := bufio.NewReaderSize(conn, readBuffer)
 
@@ -156,14 +156,14 @@
 
 		s.Received.Add(int64(size))
 		s.options.Clock.Observe(f.Clock)
-		sc.take(ctx, f)
+		sc.receive(ctx, f)
 	}
 }
 
-// prove bounds the time until the first whole frame, and with keys reads nothing
-// from who can't prove itself. Connections that never say anything would use up
-// the limit of connections.
-func (s *Server) prove(conn net.Conn) (net.Conn, error) {
+// handshake bounds the time until the first whole frame and, if TLS is configured, reads no
+// frame from a peer that can't authenticate. Without the bound, silent connections would use
+// up the connection limit.
+func (s *Server) handshake(conn net.Conn) (net.Conn, error) {
 	if err := conn.SetReadDeadline(time.Now().Add(s.options.HelloTimeout)); err != nil {
 		return nil, err
 	}
@@ -187,7 +187,7 @@
 	running map[uint64]context.CancelFunc
 }
 
-func (c *serverConn) take(ctx context.Context, f *Frame) {
+func (c *serverConn) receive(ctx context.Context, f *Frame) {
 	switch f.Kind {
 	case KindCancel:
 		c.cancel(f.ID)
@@ -212,15 +212,15 @@
 	case KindHello:
 		c.peer.Store(&f.Method)
 	case KindPing:
-		c.pong(f.ID)
+		c.writePong(f.ID)
 	case KindAnswer, KindPong:
 	}
 }
 
-func (c *serverConn) pong(id uint64) {
+func (c *serverConn) writePong(id uint64) {
 	data, err := Encode(&Frame{Kind: KindPong, ID: id})
 	if err == nil && !c.blocked() {
-		_ = c.out.write(data) // a broken connection ends by its reader
+		_ = c.out.write(data) // the read loop closes a broken connection
 	}
 }
 
--- a/internal/peer/server_test.go
+++ b/internal/peer/server_test.go
@@ -10,7 +10,7 @@
 	"github.com/pollencart/pollencart/internal/peer"
 )
 
-// brokenConn is a connection that the other side has torn down already.
+// brokenConn is a connection that the peer has already closed.
 type brokenConn struct {
 	net.Conn
 
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// oneConn is a listener with one connection.
+// oneConn is a listener that accepts one connection.
 type oneConn struct {
 	net.Listener
 
@@ -41,14 +41,14 @@
 	return c, nil
 }
 
-// A host dies, or its process is killed, between connecting and its first frame.
-// The node that it had connected to went down with it, and every call inside.
-func TestConnectionThatIsGoneBeforeItIsReadEndsAlone(t *testing.T) {
-	here, there := net.Pipe()
-	assert.NilError(t, there.Close())
-	assert.NilError(t, here.Close()) // deadlines can't be set any more
+// A host terminates, or its process is killed, between connecting and its first frame. The
+// server must drop only this connection; a crash would end all calls in flight on the node.
+func TestServerSurvivesConnectionClosedBeforeFirstRead(t *testing.T) {
+	local, remote := net.Pipe()
+	assert.NilError(t, remote.Close())
+	assert.NilError(t, local.Close()) // setting a deadline fails from here on
 
-	c := brokenConn{Conn: here, closed: make(chan struct{})}
+	c := brokenConn{Conn: local, closed: make(chan struct{})}
 	l := oneConn{conns: make(chan net.Conn, 1)}
 	l.conns <- c
 
