--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -100,7 +100,7 @@
 
 	links := []peer.Option{
 		peer.WithClock(n.recorder.Clock()), peer.WithLinks(n.faults), peer.Address(c.PeerAddress),
-		peer.Lost(func(address string) { n.gossip.ProbeSoon(address) }), peer.Patient(n.draining.Leaving),
+		peer.Lost(func(address string) { n.gossip.ProbeSoon(address) }), peer.WaitOnSuspect(n.draining.Leaving),
 	}
 
 	if c.TLS != nil {
--- a/internal/peer/clientconn.go
+++ b/internal/peer/clientconn.go
@@ -257,7 +257,7 @@
 
 			return answer, nil
 		case <-whenSuspect:
-			if cc.client.options.Patient() {
+			if cc.client.options.WaitOnSuspect() {
 				whenSuspect = nil // keep waiting for the answer
 
 				continue
--- a/internal/peer/liveness.go
+++ b/internal/peer/liveness.go
@@ -182,7 +182,7 @@
 	l.excludeStall(now, delay)
 
 	switch v := l.classify(now); {
-	case v == stateFailed && !cc.client.options.Patient():
+	case v == stateFailed && !cc.client.options.WaitOnSuspect():
 		cc.fail()
 
 		return
--- a/internal/peer/liveness_test.go
+++ b/internal/peer/liveness_test.go
@@ -113,7 +113,7 @@
 
 	var stopped atomic.Bool
 
-	c = peer.NewClient(peer.WithDialTimeout(testTimeout), peer.Patient(func() bool { return !stopped.Load() }))
+	c = peer.NewClient(peer.WithDialTimeout(testTimeout), peer.WaitOnSuspect(func() bool { return !stopped.Load() }))
 	t.Cleanup(c.Close)
 	assert.NilError(t, p.ping(c.Do, testTimeout))
 
@@ -184,7 +184,7 @@
 		return in, nil
 	}))
 
-	c := peer.NewClient(peer.WithDialTimeout(testTimeout), peer.Address(address), peer.Patient(func() bool { return true }))
+	c := peer.NewClient(peer.WithDialTimeout(testTimeout), peer.Address(address), peer.WaitOnSuspect(func() bool { return true }))
 	t.Cleanup(c.Close)
 
 	do := func(method string) chan error {
@@ -226,7 +226,7 @@
 
 	var draining atomic.Bool
 
-	c := peer.NewClient(peer.WithDialTimeout(testTimeout), peer.Patient(draining.Load))
+	c := peer.NewClient(peer.WithDialTimeout(testTimeout), peer.WaitOnSuspect(draining.Load))
 	t.Cleanup(c.Close)
 
 	assert.NilError(t, p.ping(c.DoElsewhere, testTimeout))
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -61,10 +61,10 @@
 	Lost func(address string)
 	// Exchanged is called for each answered request.
 	Exchanged func(Exchange)
-	// Patient reports whether requests keep waiting on suspect connections instead of
+	// WaitOnSuspect reports whether requests keep waiting on suspect connections instead of
 	// failing. It is true while a node drains: the peer may still be working on the requests,
 	// and the host has little processor time.
-	Patient func() bool
+	WaitOnSuspect func() bool
 }
 
 // Option sets an option.
@@ -79,10 +79,10 @@
 		MaxInFlight: DefaultMaxInFlight,
 		IdleTimeout: DefaultIdleTimeout,
 
-		HelloTimeout: DefaultHelloTimeout,
-		Lost:         func(string) {},
-		Exchanged:    func(Exchange) {},
-		Patient:      func() bool { return false },
+		HelloTimeout:  DefaultHelloTimeout,
+		Lost:          func(string) {},
+		Exchanged:     func(Exchange) {},
+		WaitOnSuspect: func() bool { return false },
 	}
 	for _, opt := range opts {
 		opt(&o)
@@ -100,9 +100,9 @@
 // Exchanged sets the callback for answered requests.
 func Exchanged(f func(Exchange)) Option { return func(o *Options) { o.Exchanged = f } }
 
-// Patient sets the function that reports whether requests keep waiting on suspect
+// WaitOnSuspect sets the function that reports whether requests keep waiting on suspect
 // connections.
-func Patient(f func() bool) Option { return func(o *Options) { o.Patient = f } }
+func WaitOnSuspect(f func() bool) Option { return func(o *Options) { o.WaitOnSuspect = f } }
 
 // WithIdleTimeout sets how long an unused control connection is kept open.
 func WithIdleTimeout(d time.Duration) Option { return func(o *Options) { o.IdleTimeout = d } }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -121,7 +121,7 @@
 	c := n.config
 	links := []peer.Option{
 		peer.WithClock(n.recorder.Clock()), peer.Address(c.PeerAddress), peer.WithDialTimeout(dialTimeout),
-		peer.Lost(func(address string) { n.gossip.ProbeSoon(address) }), peer.Patient(n.draining.Leaving),
+		peer.Lost(func(address string) { n.gossip.ProbeSoon(address) }), peer.WaitOnSuspect(n.draining.Leaving),
 		peer.Exchanged(func(e peer.Exchange) { n.meter.Exchanged(e, n.table.NearAt(e.Address)) }),
 	}
 	n.server = peer.NewServer(links...)
