--- a/internal/configsync/drill_test.go
+++ b/internal/configsync/drill_test.go
@@ -36,8 +36,8 @@
 				if sim.reaches(one, other) {
 					one.epoch.Observe(other.epoch.Number())
 					other.epoch.Observe(one.epoch.Number())
-					wg.Go(func() { one.syncer.Hear(ctx, other.id, other.holder.Number()) })
-					wg.Go(func() { other.syncer.Hear(ctx, one.id, one.holder.Number()) })
+					wg.Go(func() { one.syncer.ObserveVersion(ctx, other.id, other.holder.Number()) })
+					wg.Go(func() { other.syncer.ObserveVersion(ctx, one.id, one.holder.Number()) })
 				}
 			}
 		}
--- a/internal/configsync/tell.go
+++ b/internal/configsync/tell.go
@@ -124,10 +124,10 @@
 	return versionMessage{Version: s.options.Holder.Number()}, nil
 }
 
-// Hear handles gossip that the node at address has a version. Usually the version is about to
+// ObserveVersion handles gossip that the node at address has a version. Usually the version is about to
 // arrive from the store or a watcher. Only if it does not arrive in time is it pulled, if
 // necessary from another failure domain.
-func (s *Syncer) Hear(ctx context.Context, address string, version uint64) {
+func (s *Syncer) ObserveVersion(ctx context.Context, address string, version uint64) {
 	if version <= s.options.Holder.Number() || s.awaitingVersion.Swap(true) {
 		return
 	}
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -204,7 +204,7 @@
 	}
 
 	g.receive(reply)
-	g.options.Hear(context.WithoutCancel(ctx), reply.Address, reply.Version)
+	g.options.ObserveVersion(context.WithoutCancel(ctx), reply.Address, reply.Version)
 
 	return reply, nil
 }
@@ -260,7 +260,7 @@
 	// The handler may block, and the reply must not wait for it. Most messages carry no newer
 	// version.
 	if in.Version > g.options.Version() {
-		go g.options.Hear(context.WithoutCancel(ctx), in.Address, in.Version)
+		go g.options.ObserveVersion(context.WithoutCancel(ctx), in.Address, in.Version)
 	}
 
 	return g.newExchange(in.From, in.Records), nil
--- a/internal/membership/hear_test.go
+++ b/internal/membership/hear_test.go
@@ -24,7 +24,7 @@
 		table := membership.NewTable(membership.Record{ID: "a", PeerAddress: "10.0.0.1:1"}, timeline.New(timeline.Node("a")))
 		g := membership.NewGossip(table, nil,
 			membership.Version(func() uint64 { return current }),
-			membership.Hear(func(_ context.Context, _ string, version uint64) {
+			membership.ObserveVersion(func(_ context.Context, _ string, version uint64) {
 				reported = append(reported, version)
 
 				<-fetched
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -44,20 +44,20 @@
 
 // Options configures a Gossip.
 type Options struct {
-	Interval  time.Duration
-	Probe     time.Duration
-	Timeout   time.Duration
-	Suspicion Suspicion
-	Fanout    int
-	Helpers   int
-	Reconnect time.Duration
-	Sync      time.Duration
-	Forget    time.Duration
-	Seeds     []string
-	Version   func() uint64
-	Hear      func(ctx context.Context, address string, version uint64)
-	Seek      func(ctx context.Context) []string
-	Epochs    Epochs
+	Interval       time.Duration
+	Probe          time.Duration
+	Timeout        time.Duration
+	Suspicion      Suspicion
+	Fanout         int
+	Helpers        int
+	Reconnect      time.Duration
+	Sync           time.Duration
+	Forget         time.Duration
+	Seeds          []string
+	Version        func() uint64
+	ObserveVersion func(ctx context.Context, address string, version uint64)
+	Seek           func(ctx context.Context) []string
+	Epochs         Epochs
 }
 
 // Option modifies Options.
@@ -65,19 +65,19 @@
 
 func newOptions(opts ...Option) Options {
 	o := Options{
-		Interval:  DefaultInterval,
-		Probe:     DefaultProbe,
-		Timeout:   DefaultTimeout,
-		Suspicion: Suspicion{Shortest: DefaultShortest, Longest: DefaultLongest},
-		Fanout:    DefaultFanout,
-		Helpers:   DefaultHelpers,
-		Reconnect: DefaultReconnect,
-		Sync:      DefaultSync,
-		Forget:    DefaultForget,
-		Version:   func() uint64 { return 0 },
-		Hear:      func(context.Context, string, uint64) {},
-		Seek:      func(context.Context) []string { return nil },
-		Epochs:    noEpochs{},
+		Interval:       DefaultInterval,
+		Probe:          DefaultProbe,
+		Timeout:        DefaultTimeout,
+		Suspicion:      Suspicion{Shortest: DefaultShortest, Longest: DefaultLongest},
+		Fanout:         DefaultFanout,
+		Helpers:        DefaultHelpers,
+		Reconnect:      DefaultReconnect,
+		Sync:           DefaultSync,
+		Forget:         DefaultForget,
+		Version:        func() uint64 { return 0 },
+		ObserveVersion: func(context.Context, string, uint64) {},
+		Seek:           func(context.Context) []string { return nil },
+		Epochs:         noEpochs{},
 	}
 	for _, opt := range opts {
 		opt(&o)
@@ -95,9 +95,9 @@
 // Version sets the function that returns the stored configuration version.
 func Version(f func() uint64) Option { return func(o *Options) { o.Version = f } }
 
-// Hear sets the function that is called with configuration versions reported by peers.
-func Hear(f func(ctx context.Context, address string, version uint64)) Option {
-	return func(o *Options) { o.Hear = f }
+// ObserveVersion sets the function that is called with configuration versions reported by peers.
+func ObserveVersion(f func(ctx context.Context, address string, version uint64)) Option {
+	return func(o *Options) { o.ObserveVersion = f }
 }
 
 // WithEpochs sets where the store epoch sent to peers comes from and received epochs go to.
--- a/internal/propagation/cluster_test.go
+++ b/internal/propagation/cluster_test.go
@@ -198,8 +198,8 @@
 		c.mu.Unlock()
 
 		if other != nil && !n.frozen.Load() && !other.frozen.Load() {
-			other.spreader.Hear(ctx, n.id, n.holder.Number())
-			n.spreader.Hear(ctx, other.id, other.holder.Number())
+			other.spreader.ObserveVersion(ctx, n.id, n.holder.Number())
+			n.spreader.ObserveVersion(ctx, other.id, other.holder.Number())
 		}
 	}
 }
--- a/internal/propagation/pull.go
+++ b/internal/propagation/pull.go
@@ -60,8 +60,8 @@
 	return Number{Number: s.holder.Number()}, nil
 }
 
-// Hear is called when a peer says which version it holds. It does not wait.
-func (s *Spreader) Hear(ctx context.Context, address string, number uint64) {
+// ObserveVersion is called when a peer says which version it holds. It does not wait.
+func (s *Spreader) ObserveVersion(ctx context.Context, address string, number uint64) {
 	if number <= s.holder.Number() || s.options.Strategy == StrategyPoll || s.isRefused(number) {
 		return
 	}
--- a/internal/propagation/pull_test.go
+++ b/internal/propagation/pull_test.go
@@ -50,7 +50,7 @@
 		s := propagation.New(h, nil, nil, p, timeline.New())
 
 		for range 50 {
-			s.Hear(t.Context(), "peer", 2)
+			s.ObserveVersion(t.Context(), "peer", 2)
 			time.Sleep(time.Millisecond)
 		}
 
@@ -83,7 +83,7 @@
 		s := propagation.New(h, nil, nil, p, recorder)
 
 		for range 100 {
-			s.Hear(t.Context(), "peer", 2)
+			s.ObserveVersion(t.Context(), "peer", 2)
 			time.Sleep(time.Second)
 		}
 
--- a/internal/propagation/push.go
+++ b/internal/propagation/push.go
@@ -47,10 +47,10 @@
 
 	switch {
 	case in.Delta == nil:
-		s.Hear(ctx, in.Address, in.Number)
+		s.ObserveVersion(ctx, in.Address, in.Number)
 	case in.Delta.From == 0 || in.Delta.From == s.holder.Number():
 		if s.take(*in.Delta, in.Address, false) != nil {
-			s.Hear(ctx, in.Address, in.Number)
+			s.ObserveVersion(ctx, in.Address, in.Number)
 		}
 	}
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -136,7 +136,7 @@
 		Epoch: n.epoch,
 	})
 	n.gossip = membership.NewGossip(
-		n.table, n.client, membership.Version(n.holder.Number), membership.Hear(n.configsync.Hear), membership.WithEpochs(n.epoch),
+		n.table, n.client, membership.Version(n.holder.Number), membership.ObserveVersion(n.configsync.ObserveVersion), membership.WithEpochs(n.epoch),
 	)
 	n.discovery = discovery.New(n.store, n.table, n.gossip.Join, n.recorder, c.FirstStart).WithEpoch(n.epoch)
 	n.tombstone = tombstone.New(n.store, n.client, n.table).WithEpoch(n.epoch, n.recorder)
