--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -2,7 +2,7 @@
 // has one record with the peer addresses of a few of its nodes.
 //
 //	b := bootstrap.New(store, table, "nottm-a")
-//	g := membership.NewGossip(table, peers, membership.Seek(b.Seek))
+//	g := membership.NewGossip(table, peers, membership.FindPeers(b.FindPeers))
 //	go b.Run(ctx, g.Meet)
 //
 // The load on the platform grows with the number of failure domains, not with the number
@@ -77,9 +77,9 @@
 	return &Bootstrap{store: s, table: t, domain: domain, nextRead: time.Now().Add(rand.N(startSpread))}
 }
 
-// Seek returns the recorded addresses of all failure domains, or nil if the backoff has
+// FindPeers returns the recorded addresses of all failure domains, or nil if the backoff has
 // not elapsed or the read fails.
-func (b *Bootstrap) Seek(ctx context.Context) []string {
+func (b *Bootstrap) FindPeers(ctx context.Context) []string {
 	if !b.readDue() {
 		return nil
 	}
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -142,7 +142,7 @@
 
 			go func() {
 				for ctx.Err() == nil {
-					b.Seek(ctx)
+					b.FindPeers(ctx)
 					time.Sleep(200 * time.Millisecond)
 				}
 			}()
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -56,7 +56,7 @@
 	Seeds          []string
 	Version        func() uint64
 	ObserveVersion func(ctx context.Context, address string, version uint64)
-	Seek           func(ctx context.Context) []string
+	FindPeers      func(ctx context.Context) []string
 	Epochs         Epochs
 }
 
@@ -76,7 +76,7 @@
 		Forget:         DefaultForget,
 		Version:        func() uint64 { return 0 },
 		ObserveVersion: func(context.Context, string, uint64) {},
-		Seek:           func(context.Context) []string { return nil },
+		FindPeers:      func(context.Context) []string { return nil },
 		Epochs:         noEpochs{},
 	}
 	for _, opt := range opts {
@@ -89,8 +89,10 @@
 // Seeds sets the addresses to contact first when joining.
 func Seeds(addresses ...string) Option { return func(o *Options) { o.Seeds = addresses } }
 
-// Seek sets the source of addresses to join if no seed answers.
-func Seek(f func(ctx context.Context) []string) Option { return func(o *Options) { o.Seek = f } }
+// FindPeers sets the source of addresses to join if no seed answers.
+func FindPeers(f func(ctx context.Context) []string) Option {
+	return func(o *Options) { o.FindPeers = f }
+}
 
 // Version sets the function that returns the stored configuration version.
 func Version(f func() uint64) Option { return func(o *Options) { o.Version = f } }
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -118,7 +118,7 @@
 		return
 	}
 
-	if g.joinAny(ctx, g.options.Seeds) || g.joinAny(ctx, g.options.Seek(ctx)) {
+	if g.joinAny(ctx, g.options.Seeds) || g.joinAny(ctx, g.options.FindPeers(ctx)) {
 		return
 	}
 
