--- a/internal/sidecar/deliveries.go
+++ b/internal/sidecar/deliveries.go
@@ -9,24 +9,24 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// deliveries tells how answers reached their callers.
-type deliveries struct {
+// deliveryObserver records responses whose delivery to the caller was delayed or failed.
+type deliveryObserver struct {
 	recorder *timeline.Recorder
 	meter    *meter.Meter
 }
 
-var _ ingress.Observer = deliveries{}
+var _ ingress.Observer = deliveryObserver{}
 
-func (d deliveries) Held(v ingress.Delivery) {
-	d.recorder.Record(event.AnswerHeld, timeline.Entry{Call: v.Call, Detail: described(v)})
+func (d deliveryObserver) Held(v ingress.Delivery) {
+	d.recorder.Record(event.AnswerHeld, timeline.Entry{Call: v.Call, Detail: describeDelivery(v)})
 }
 
-func (d deliveries) Undelivered(v ingress.Delivery) {
+func (d deliveryObserver) Undelivered(v ingress.Delivery) {
 	d.meter.Undelivered()
-	d.recorder.Record(event.AnswerUndelivered, timeline.Entry{Call: v.Call, Detail: described(v) + ": " + v.Err.Error()})
+	d.recorder.Record(event.AnswerUndelivered, timeline.Entry{Call: v.Call, Detail: describeDelivery(v) + ": " + v.Err.Error()})
 }
 
-func described(v ingress.Delivery) string {
+func describeDelivery(v ingress.Delivery) string {
 	return fmt.Sprintf("status %d ms %d held %d connected %d",
 		v.Status, v.Took.Milliseconds(), v.Held.Milliseconds(), v.Connected.Milliseconds())
 }
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -13,101 +13,99 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// The steps of a stop, for a grace time of usualGrace or more; they are shorter in a shorter one.
+// Durations of the drain steps for a grace time of referenceGrace or more. A shorter grace time
+// scales them down.
 const (
-	usualGrace = 6 * time.Second
-	// noticeTime is how long callers still come after the node says that it is not
-	// ready: it is asked once a second and taken out after two misses. Connections
-	// that are closed before are opened again here.
-	noticeTime = 2500 * time.Millisecond
-	// lendTime is how long after that calls of other nodes are taken while callers of this
-	// one wait for their last answers. The backend server runs on, and the process has to
-	// wait for those answers in any case.
-	lendTime = 400 * time.Millisecond
-	// withdrawTime is how long it takes until most nodes know that they are to send no
-	// calls here: a gossip round or two. Who does not know it is turned away in one round
-	// trip.
-	withdrawTime = 150 * time.Millisecond
-	// beforeGrace is how long before the platform kills the process it gives up what is
-	// left, so that it is answered and closed in order.
-	beforeGrace = 400 * time.Millisecond
-	// lookEvery is how often it is looked whether anything is left in flight.
-	lookEvery = 20 * time.Millisecond
-	// lastAnswers is how long the answers to calls that the stop gives up, and refusals,
-	// have to go out: some ways to a caller and back.
-	lastAnswers = 150 * time.Millisecond
-	// leaveTime bounds the word to the fleet and the store that this node leaves.
-	leaveTime = 200 * time.Millisecond
-	// confirmTime is how long the backend server waits for an answer to its last word.
-	confirmTime = time.Second
+	referenceGrace = 6 * time.Second
+	// readinessDelay is how long callers keep connecting after the node reports that it is not
+	// ready: the platform checks once per second and removes a node after two failed checks.
+	// Callers would reopen connections that are closed earlier.
+	readinessDelay = 2500 * time.Millisecond
+	// peerCallExtension is how much longer the node accepts calls from other nodes while its
+	// callers wait for their last responses. The backend server still runs, and the process has
+	// to wait for these responses in any case.
+	peerCallExtension = 400 * time.Millisecond
+	// withdrawalDelay is one to two gossip rounds, after which most nodes have stopped sending
+	// calls. Calls from the others are rejected within one round trip.
+	withdrawalDelay = 150 * time.Millisecond
+	// graceReserve is how long before the end of the grace time the node abandons the remaining
+	// calls, so that it can answer them and close connections before the platform kills it.
+	graceReserve = 400 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
+	// finalResponseTimeout bounds the delivery of refusals and of responses to abandoned
+	// calls: several round trips to a caller.
+	finalResponseTimeout = 150 * time.Millisecond
+	// leaveTimeout bounds the notification of the other nodes and the store that this node leaves.
+	leaveTimeout = 200 * time.Millisecond
+	// confirmTimeout bounds the response to the last announcement of the backend server.
+	confirmTimeout = time.Second
 )
 
-// stop is a planned stop in its order, apart from what is stopped.
-type stop struct {
+// drainSequence runs the steps of a drain in order. Its functions act on the node.
+type drainSequence struct {
 	grace time.Duration
-	// callers counts connections of callers that wait for answers, running the calls at the
-	// backend server here, inFlight all that run here.
+	// callers counts caller connections that wait for responses, running counts calls at the
+	// local backend server, and inFlight counts all calls that this node handles.
 	callers, running, inFlight func() int
-	// retire ends the connections of callers with the answers that they wait for,
-	// withdraw tells other nodes to send nothing.
+	// retire closes each caller connection after its pending responses; withdraw notifies other
+	// nodes to stop sending calls.
 	retire, withdraw func()
-	// limitIntake takes only calls of callers that are over by the end, closeGate none of
-	// other nodes, closeIntake none of callers.
+	// limitIntake rejects calls from callers that may run past end; closeGate rejects all calls
+	// from other nodes, closeIntake all calls from callers.
 	limitIntake            func(end time.Time)
 	closeGate, closeIntake func()
-	// report tells which step comes next.
+	// report is called with the name of the next step.
 	report func(step string)
 }
 
-// lasts is how long a step takes of this stop's grace time.
-func (s stop) lasts(usual time.Duration) time.Duration {
-	return min(usual, time.Duration(float64(usual)*float64(s.grace)/float64(usualGrace)))
+// scale shortens a duration in proportion if the grace time is shorter than referenceGrace.
+func (s drainSequence) scale(duration time.Duration) time.Duration {
+	return min(duration, time.Duration(float64(duration)*float64(s.grace)/float64(referenceGrace)))
 }
 
-// left is what a stop leaves unfinished.
-type left struct{ callers, inFlight int }
+// remainder counts the connections and calls that are unfinished at the end of a drain.
+type remainder struct{ callers, inFlight int }
 
-// run returns once nothing is in flight, or the grace time is nearly over, with what is left
-// then. Callers are kept as before until they know; calls of other nodes are taken until the
-// last callers are gone. Then calls are refused, so that the end depends only on those that
-// were taken.
-func (s stop) run() left {
+// run returns once nothing is in flight or the grace time is nearly over, with the unfinished
+// rest. The node serves callers as before until the platform has removed it, and other nodes
+// meanwhile. Then it rejects calls, so that the end of the drain depends only on accepted ones.
+func (s drainSequence) run() remainder {
 	began := time.Now()
-	deadline := began.Add(s.grace - s.lasts(beforeGrace))
+	deadline := began.Add(s.grace - s.scale(graceReserve))
 
-	time.Sleep(s.lasts(noticeTime))
+	time.Sleep(s.scale(readinessDelay))
 	s.report("callers' connections are retired")
 	s.retire()
-	until(time.Now().Add(s.lasts(lendTime)), func() bool { return s.callers() == 0 })
+	waitUntil(time.Now().Add(s.scale(peerCallExtension)), func() bool { return s.callers() == 0 })
 	s.report("other nodes are told to send no calls")
 	s.limitIntake(deadline)
 	s.withdraw()
-	time.Sleep(s.lasts(withdrawTime))
+	time.Sleep(s.scale(withdrawalDelay))
 	s.report("calls of other nodes are turned away")
 	s.closeGate()
-	until(deadline, func() bool { return s.running() == 0 })
+	waitUntil(deadline, func() bool { return s.running() == 0 })
 	s.report("calls of callers are refused")
 	s.closeIntake()
-	until(deadline, func() bool { return s.callers() == 0 && s.inFlight() == 0 })
+	waitUntil(deadline, func() bool { return s.callers() == 0 && s.inFlight() == 0 })
 	s.report("no call is waited for")
 
-	return left{s.callers(), s.inFlight()}
+	return remainder{s.callers(), s.inFlight()}
 }
 
-// until waits for something to hold, but no longer than a moment.
-func until(deadline time.Time, holds func() bool) {
+// waitUntil polls a condition until it holds or the deadline passes.
+func waitUntil(deadline time.Time, holds func() bool) {
 	for time.Now().Before(deadline) && !holds() {
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// drain ends the service without cutting a call off.
+// drain stops the service and lets calls in flight finish within the grace time.
 func (n *Sidecar) drain() {
 	n.draining.Leave()
 	n.recorder.Record(event.NodeDraining, timeline.Entry{})
 
 	began := time.Now()
-	s := stop{
+	s := drainSequence{
 		grace:    config.Seconds(n.settings.Load().Bounds.GraceSeconds),
 		callers:  n.ingress.Busy,
 		running:  func() int { return int(n.runner.Busy()) },
@@ -118,7 +116,7 @@
 		},
 	}
 
-	if unfinished := s.run(); unfinished != (left{}) {
+	if unfinished := s.run(); unfinished != (remainder{}) {
 		n.recorder.Record(event.NodeCutsOff, timeline.Entry{
 			Detail: fmt.Sprintf("%d connections of callers, %d calls: %s", unfinished.callers, unfinished.inFlight, n.unfinished()),
 		})
@@ -126,21 +124,21 @@
 
 	var ending sync.WaitGroup
 
-	ending.Go(func() { n.leave(s.lasts(leaveTime)) })
-	ending.Go(func() { n.abandon(s.lasts(lastAnswers)) })
+	ending.Go(func() { n.leave(s.scale(leaveTimeout)) })
+	ending.Go(func() { n.abandon(s.scale(finalResponseTimeout)) })
 	ending.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), min(confirmTime, time.Until(began.Add(s.grace-s.lasts(leaveTime)))))
+		ctx, cancel := context.WithTimeout(context.Background(), min(confirmTimeout, time.Until(began.Add(s.grace-s.scale(leaveTimeout)))))
 		defer cancel()
 
-		n.shutdown(ctx)
+		n.shutdownHTTP(ctx)
 	})
 	ending.Wait()
 }
 
-// named bounds the connections that a line about a stop describes.
-const named = 4
+// maxDescribedConnections limits the connections that one log line of a drain describes.
+const maxDescribedConnections = 4
 
-// unfinished says what a stop has to wait for.
+// unfinished describes the connections and calls that the drain waits for.
 func (n *Sidecar) unfinished() string {
 	pending := n.ingress.Pending()
 
@@ -149,7 +147,7 @@
 	fmt.Fprintf(&b, "%d connections, %d with calls, %d calls at the gate, %d messages of other nodes",
 		n.ingress.Connections(), len(pending), n.runner.Busy(), n.server.Running())
 
-	for _, p := range pending[:min(named, len(pending))] {
+	for _, p := range pending[:min(maxDescribedConnections, len(pending))] {
 		b.WriteString("; ")
 		b.WriteString(p.String())
 	}
@@ -157,23 +155,23 @@
 	return b.String()
 }
 
-// closeIntake refuses calls of callers. Who connects now is not waited for.
+// closeIntake rejects calls from callers. The drain does not wait for new connections.
 func (n *Sidecar) closeIntake() {
 	n.draining.Close()
 	n.ingress.Settle()
 }
 
-// abandon takes no more connections, ends the calls of callers that are under way, and gives
-// their last answers a time to go out.
-func (n *Sidecar) abandon(patience time.Duration) {
-	_ = n.callers.Close() // it was open until now
+// abandon stops accepting connections, cancels the calls of callers that are still in flight, and
+// waits up to timeout for their responses to be sent.
+func (n *Sidecar) abandon(timeout time.Duration) {
+	_ = n.callerListener.Close() // still open until here
 
 	n.ingress.Abandon()
-	until(time.Now().Add(patience), func() bool { return len(n.ingress.Pending()) == 0 })
+	waitUntil(time.Now().Add(timeout), func() bool { return len(n.ingress.Pending()) == 0 })
 }
 
-// withdraw tells the other nodes to send no calls here, while the backend server
-// goes on with those it has.
+// withdraw announces the backend server as draining, so that other nodes send no more calls. It
+// finishes the calls that it has.
 func (n *Sidecar) withdraw() {
 	n.withdrawn.Store(true)
 	n.table.Update(func(r membership.Record) membership.Record {
@@ -187,9 +185,9 @@
 	n.gossip.SendChanges(context.Background())
 }
 
-// leave tells the fleet and the store that this node leaves.
-func (n *Sidecar) leave(patience time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// leave notifies the other nodes and the store that this node leaves.
+func (n *Sidecar) leave(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 
 	n.gossip.Leave(ctx)
--- a/internal/sidecar/drain_test.go
+++ b/internal/sidecar/drain_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// stopped plays a planned stop with callers whose last answers come after some time, and
-// calls of other nodes that run for some time after the last was let in. It returns when
-// other nodes' calls were turned away, when the process ended, and what it left unfinished.
-func stopped(callers, inside time.Duration) (shut, ended time.Duration, unfinished left) {
+// runDrain runs a drain with callers that wait for their last responses for some time, and calls from
+// other nodes that run for some time after the gate is closed. It returns when the gate was closed,
+// when the drain ended, and what it left unfinished.
+func runDrain(callers, peerCalls time.Duration) (gateClosed, ended time.Duration, unfinished remainder) {
 	start := time.Now()
 
 	within := func(d time.Duration) int {
@@ -22,57 +22,57 @@
 		return 0
 	}
 
-	unfinished = stop{
+	unfinished = drainSequence{
 		grace:    6 * time.Second,
 		callers:  func() int { return within(callers) },
 		running:  func() int { return 0 },
-		inFlight: func() int { return within(shut + inside) },
+		inFlight: func() int { return within(gateClosed + peerCalls) },
 		retire:   func() {}, withdraw: func() {}, report: func(string) {}, closeIntake: func() {}, limitIntake: func(time.Time) {},
-		closeGate: func() { shut = time.Since(start) },
+		closeGate: func() { gateClosed = time.Since(start) },
 	}.run()
 
-	return shut, time.Since(start), unfinished
+	return gateClosed, time.Since(start), unfinished
 }
 
-// A stop that turns other nodes' calls away while its own callers still wait for answers
-// leaves a backend server idle that runs on, and callers elsewhere without it.
-func TestCallsOfOthersAreTakenWhileCallersWait(t *testing.T) {
+// Rejecting calls from other nodes while callers still wait for responses leaves a running backend
+// server idle, and other nodes without it.
+func TestDrainAcceptsPeerCallsWhileCallersWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shut, ended, unfinished := stopped(2700*time.Millisecond, 100*time.Millisecond)
-		assert.Assert(t, shut >= 2800*time.Millisecond, "%s", shut)
+		gateClosed, ended, unfinished := runDrain(2700*time.Millisecond, 100*time.Millisecond)
+		assert.Assert(t, gateClosed >= 2800*time.Millisecond, "%s", gateClosed)
 		assert.Assert(t, ended < 3100*time.Millisecond, "%s", ended)
-		assert.Equal(t, unfinished, left{})
+		assert.Equal(t, unfinished, remainder{})
 	})
 }
 
-// A caller's last answer takes long. What other nodes' calls start meanwhile must still
-// end within the grace time, so these are turned away before.
-func TestCallsOfOthersAreTakenForABoundedTime(t *testing.T) {
+// A caller waits long for its last response. Calls from other nodes that start meanwhile must still
+// end within the grace time, so the gate closes before that response.
+func TestDrainBoundsTimeForPeerCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shut, ended, unfinished := stopped(4*time.Second, 100*time.Millisecond)
-		assert.Assert(t, shut < 3100*time.Millisecond, "%s", shut)
+		gateClosed, ended, unfinished := runDrain(4*time.Second, 100*time.Millisecond)
+		assert.Assert(t, gateClosed < 3100*time.Millisecond, "%s", gateClosed)
 		assert.Assert(t, ended < 4100*time.Millisecond, "%s", ended)
-		assert.Equal(t, unfinished, left{})
+		assert.Equal(t, unfinished, remainder{})
 	})
 }
 
-// A call never ends. The process ends by itself before it is killed, and tells what it cuts
-// off: without a line nobody can say why the caller's connection ended.
-func TestAStopEndsWithinTheGraceTime(t *testing.T) {
+// A call never ends. The drain ends before the process is killed, and reports the unfinished call and
+// connection, which explains the closed connection to the caller.
+func TestDrainEndsWithinGraceTimeDespiteEndlessCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, ended, unfinished := stopped(time.Minute, time.Minute)
+		_, ended, unfinished := runDrain(time.Minute, time.Minute)
 		assert.Assert(t, ended < 6*time.Second, "%s", ended)
-		assert.Equal(t, unfinished, left{callers: 1, inFlight: 1})
+		assert.Equal(t, unfinished, remainder{callers: 1, inFlight: 1})
 	})
 }
 
-// stepsOf plays a stop that nothing ends, and returns when calls were first taken by their
-// time limit, when it was over, and that end of the process.
-func stepsOf(grace time.Duration) (bounded, ended, end time.Duration) {
+// runEndlessDrain runs a drain whose calls never end. It returns when the intake was limited, when the
+// drain ended, and the end that the intake was limited to.
+func runEndlessDrain(grace time.Duration) (bounded, ended, end time.Duration) {
 	start := time.Now()
 	nothing := func() {}
 
-	stop{
+	drainSequence{
 		grace: grace, callers: func() int { return 1 }, running: func() int { return 1 }, inFlight: func() int { return 1 },
 		retire: nothing, withdraw: nothing, closeGate: nothing, closeIntake: nothing, report: func(string) {},
 		limitIntake: func(at time.Time) { bounded, end = time.Since(start), at.Sub(start) },
@@ -81,23 +81,23 @@
 	return bounded, time.Since(start), end
 }
 
-// A stop with a short grace time must be over before the process is killed.
-func TestAStopWithAShortGraceTimeEndsWithinIt(t *testing.T) {
+// A drain with a short grace time must end before the process is killed.
+func TestDrainEndsWithinShortGraceTime(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second, 6 * time.Second, 10 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			_, ended, end := stepsOf(grace)
-			after := stop{grace: grace}.lasts(max(leaveTime, lastAnswers))
+			_, ended, end := runEndlessDrain(grace)
+			after := drainSequence{grace: grace}.scale(max(leaveTimeout, finalResponseTimeout))
 
-			assert.Check(t, ended-end <= lookEvery, "%s", ended)
+			assert.Check(t, ended-end <= pollInterval, "%s", ended)
 			assert.Check(t, ended+after < grace, "%s", ended)
 		})
 	}
 }
 
-// A call that may last beyond the stop must not be taken late in it.
-func TestCallsPastTheEndAreTakenForAtMostThreeSeconds(t *testing.T) {
+// A call that may outlast the drain must not be accepted late in it.
+func TestDrainLimitsCallDurationWithinThreeSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bounded, _, _ := stepsOf(6 * time.Second)
+		bounded, _, _ := runEndlessDrain(6 * time.Second)
 		assert.Check(t, bounded <= 3*time.Second, "%s", bounded)
 	})
 }
--- a/internal/sidecar/drills_test.go
+++ b/internal/sidecar/drills_test.go
@@ -13,18 +13,19 @@
 	"github.com/pollencart/pollencart/platform/standin"
 )
 
-var drills = flag.Int("drills", 2, "how often the store comes back from an older copy")
+var drills = flag.Int("drills", 2, "number of store restores from an older copy")
 
-// holds reports whether a node has a version in force, by a route that only this one has.
-func (h *host) holds(version int) bool {
+// hasVersion reports whether a version is active on a node, by a route that only this version has.
+func (h *host) hasVersion(version int) bool {
 	response, err := http.Get(fmt.Sprintf("http://%s/v%d/", h.config.CallerAddress, version))
 
 	return err == nil && response.Body.Close() == nil && response.StatusCode != http.StatusNotFound
 }
 
-// A leaving and a version that the store lost with an older copy must hold all the same.
-func TestLeavingsAndVersionsOutliveAStoreThatComesBackOlder(t *testing.T) {
-	const bound = 3 * time.Second // two seconds from hearing of it, and a look to hear of it
+// A confirmed departure and an accepted version must survive a restore of the store from a copy that
+// has neither.
+func TestDeparturesAndVersionsSurviveStoreRestore(t *testing.T) {
+	const bound = 3 * time.Second // two seconds after the restore is learned of, and one poll to learn of it
 
 	services := make([]string, 0, *drills+2)
 	for range *drills + 2 {
@@ -33,31 +34,31 @@
 
 	f := newFleet(t, services...)
 	f.store.Write(platform.ConfigurationKey, standin.Document(1, "ledger"))
-	f.announced(t)
+	f.announceAll(t)
 
 	for _, h := range f.hosts {
 		eventually(t, h.serves)
 	}
 
 	for i := range *drills {
-		leaving, version := f.hosts[i], i+2
+		departing, version := f.hosts[i], i+2
 
 		older := f.store.Copy()
 
 		f.store.Write(platform.ConfigurationKey, standin.Document(version, "ledger"))
-		assert.Equal(t, leaving.announce(true), http.StatusOK)
+		assert.Equal(t, departing.announce(true), http.StatusOK)
 
-		before := leaving.backend.Calls()
+		before := departing.backend.Calls()
 
 		f.store.Away(http.StatusServiceUnavailable)
 		time.Sleep(100 * time.Millisecond)
 		f.store.Restore(older)
 
-		if i%2 == 0 { // the process that confirmed it is gone before it could write again
-			leaving.stop()
-			<-leaving.ended
-			leaving.start(t)
-			eventually(t, leaving.ready)
+		if i%2 == 0 { // the process that confirmed the departure ends before it can rewrite the record
+			departing.stop()
+			<-departing.ended
+			departing.start(t)
+			eventually(t, departing.ready)
 		}
 
 		f.store.WriteAgain()
@@ -65,20 +66,20 @@
 		since := time.Now()
 
 		for _, h := range f.hosts {
-			eventually(t, func() bool { return h.holds(version) })
+			eventually(t, func() bool { return h.hasVersion(version) })
 		}
 
 		assert.Check(t, time.Since(since) < bound, "%s", time.Since(since))
 
-		leaving.announce(false) // a late one
+		departing.announce(false) // a delayed heartbeat
 		assert.Equal(t, f.hosts[*drills].announce(false), http.StatusOK)
 
 		for range 5 {
 			for _, h := range f.hosts {
-				h.call("after the leaving")
+				h.call("after the departure")
 			}
 		}
 
-		assert.DeepEqual(t, leaving.backend.Calls(), before)
+		assert.DeepEqual(t, departing.backend.Calls(), before)
 	}
 }
--- a/internal/sidecar/epoch.go
+++ b/internal/sidecar/epoch.go
@@ -11,14 +11,15 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// tellAfter is how long the line of a change waits for an answer that has a revision: the
-// first word of it is often another node's, or a refusal, and watchers read anew at once.
-const tellAfter = time.Second
+// reportDelay is how long the report of an epoch change waits for a store response that has a
+// revision. The change is often learned from another node or a rejected request, without a
+// revision, and watchers read again at once.
+const reportDelay = time.Second
 
-// followEpoch tells of each change of the store's epoch until ctx ends.
-func (n *Sidecar) followEpoch(ctx context.Context) {
-	var telling sync.WaitGroup
-	defer telling.Wait()
+// reportEpochChanges records each change of the store's epoch until ctx ends.
+func (n *Sidecar) reportEpochChanges(ctx context.Context) {
+	var reports sync.WaitGroup
+	defer reports.Wait()
 
 	for changed := n.epoch.Changed(); ; {
 		select {
@@ -32,8 +33,8 @@
 		reached := n.store.Reached(before)
 
 		n.meter.Restored()
-		telling.Go(func() {
-			idle.For(ctx, tellAfter)
+		reports.Go(func() {
+			idle.For(ctx, reportDelay)
 			n.recorder.Record(event.StoreRestored, timeline.Entry{
 				Detail: fmt.Sprintf("epoch %d revision %d before %d revision %d", now, n.store.Reached(now), before, reached),
 			})
--- a/internal/sidecar/epoch_test.go
+++ b/internal/sidecar/epoch_test.go
@@ -14,28 +14,28 @@
 	"github.com/pollencart/pollencart/platform/standin"
 )
 
-// lines keeps what a node logs.
-type lines struct {
+// logBuffer collects the log output of nodes.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	return l.text.Write(p)
 }
 
-func (l *lines) count(word string) int {
+func (l *logBuffer) count(word string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	return strings.Count(l.text.String(), word)
 }
 
-func TestEachNodeTellsOfARestoreOnce(t *testing.T) {
-	var log lines
+func TestEachNodeReportsStoreRestoreOnce(t *testing.T) {
+	var log logBuffer
 
 	f := newFleet(t, "browse", "ledger")
 	for _, h := range f.hosts {
@@ -47,7 +47,7 @@
 	}
 
 	f.store.Write(platform.ConfigurationKey, standin.Document(1, "browse", "ledger"))
-	f.announced(t)
+	f.announceAll(t)
 
 	older := f.store.Copy()
 	f.store.Write(platform.ConfigurationKey, standin.Document(2, "browse", "ledger"))
--- a/internal/sidecar/listen.go
+++ b/internal/sidecar/listen.go
@@ -17,7 +17,7 @@
 	"github.com/pollencart/pollencart/platform"
 )
 
-// ErrListen is returned if an address can't be listened on.
+// ErrListen is returned if the node can't listen on a configured address.
 var ErrListen = errs.New("sidecar.listen", http.StatusServiceUnavailable, "can't listen")
 
 func (n *Sidecar) ready() bool { return n.holder.Number() > 0 && !n.draining.Leaving() }
@@ -43,7 +43,7 @@
 		n.listeners = append(n.listeners, l)
 
 		if h.address == n.config.CallerAddress {
-			n.callers = l
+			n.callerListener = l
 		}
 
 		go n.serve(h.serve, l)
@@ -52,8 +52,7 @@
 	return nil
 }
 
-// registerMetrics serves what the process has counted, and profiles of it if its settings
-// say so.
+// registerMetrics serves the metrics and, if enabled in the settings, profiles of the process.
 func (n *Sidecar) registerMetrics(e *echo.Echo) {
 	e.GET("/metrics", echo.WrapHandler(n.meter.Handler()))
 
@@ -71,27 +70,26 @@
 	}
 }
 
-// headTime bounds how long a connection may take over its request's head.
-const headTime = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
 
 func (n *Sidecar) serveHTTP(register func(*echo.Echo)) func(net.Listener) error {
 	e := echo.New()
 	e.HideBanner = true
 	register(e)
 
-	s := &http.Server{Handler: e, ReadHeaderTimeout: headTime}
+	s := &http.Server{Handler: e, ReadHeaderTimeout: readHeaderTimeout}
 	n.servers = append(n.servers, s)
 
 	return s.Serve
 }
 
-// shutdown takes no more words of the backend server, questions of the platform and scrapes,
-// and answers those under way.
-func (n *Sidecar) shutdown(ctx context.Context) {
+// shutdownHTTP stops the HTTP servers for heartbeats, readiness checks and metrics after their
+// requests in flight.
+func (n *Sidecar) shutdownHTTP(ctx context.Context) {
 	var ending sync.WaitGroup
 
 	for _, s := range n.servers {
-		ending.Go(func() { _ = s.Shutdown(ctx) }) // what is left then ends with the process
+		ending.Go(func() { _ = s.Shutdown(ctx) }) // requests that exceed ctx end with the process
 	}
 
 	ending.Wait()
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -9,18 +9,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// A fleet spends more on itself than its operators expect. The metrics of one node have to
-// tell which messages, within its failure domain or to others, and which calls to the
-// store.
-func TestMetricsTellWhatNodesSayToEachOther(t *testing.T) {
+// Operators need to find out which messages between nodes, within a failure domain or across, and
+// which store calls cause unexpected load.
+func TestMetricsCountMessagesByMethodAndDomain(t *testing.T) {
 	f := newFleet(t, "browse", "ledger")
-	f.announced(t)
+	f.announceAll(t)
 
 	const far = `pollencart_messages_total{Method="Member.Exchange",Near="false"}`
 
 	var text string
 
-	// The first exchange may be with an address of which nothing is known yet.
+	// The first exchange may be with an address whose failure domain is unknown.
 	eventually(t, func() bool {
 		text = f.hosts[0].metrics(t)
 
@@ -35,17 +34,16 @@
 	}
 }
 
-// A node takes more processor time or memory than its operators expect. They ask it for a
-// profile, which it gives only where its settings say so: whoever reaches the address could
-// keep it busy with profiles.
-func TestProfilesAreServedWhereSettingsSaySo(t *testing.T) {
+// Operators take profiles of a node that uses much CPU time or memory. They are off by default, since
+// any client that reaches the address could load the node with profiles.
+func TestProfilesAreServedOnlyIfEnabled(t *testing.T) {
 	const profile = "/debug/pprof/heap"
 
 	f := newFleet(t, "browse")
 	h := f.hosts[0]
 
 	eventually(t, func() bool { return h.metrics(t) != "" })
-	status, _ := h.ask(t, profile)
+	status, _ := h.get(t, profile)
 	assert.Equal(t, status, http.StatusNotFound)
 
 	h.stop()
@@ -55,7 +53,7 @@
 	h.start(t)
 
 	eventually(t, func() bool { return h.metrics(t) != "" })
-	status, body := h.ask(t, profile)
+	status, body := h.get(t, profile)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Assert(t, body != "")
 }
@@ -63,19 +61,19 @@
 func (h *host) metrics(t *testing.T) string {
 	t.Helper()
 
-	_, text := h.ask(t, "/metrics")
+	_, text := h.get(t, "/metrics")
 
 	return text
 }
 
-// ask gets a page of the metrics address, with status 0 if nobody listens there yet.
-func (h *host) ask(t *testing.T, path string) (status int, body string) {
+// get fetches a page from the metrics address; its status is 0 if the node does not listen yet.
+func (h *host) get(t *testing.T, path string) (status int, body string) {
 	t.Helper()
 
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+h.config.MetricsAddress+path, http.NoBody)
 	assert.NilError(t, err)
 
-	request.Close = true // a kept connection would go on to an ended node of this process
+	request.Close = true // a reused connection could lead to a node that this test has stopped
 
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
--- a/internal/sidecar/poison_test.go
+++ b/internal/sidecar/poison_test.go
@@ -16,7 +16,7 @@
 	"github.com/pollencart/pollencart/platform/standin"
 )
 
-// upload sends a call that is not repeated, and returns its status.
+// upload sends a call that is not retried, and returns its status.
 func (h *host) upload(path string) int {
 	request, err := http.NewRequest(http.MethodPost, "http://"+h.config.CallerAddress+"/once/"+path, strings.NewReader("body"))
 	if err != nil {
@@ -37,16 +37,16 @@
 	return response.StatusCode
 }
 
-// fragile is a backend server that a request to a broken folder ends.
-type fragile struct {
+// crashingBackend is a backend server that crashes on a request whose path ends in /broken.
+type crashingBackend struct {
 	*standin.Backend
 
 	server  *httptest.Server
 	crashes *atomic.Int32
 }
 
-// ServeHTTP runs a call, or ends: its listener and all its connections are closed.
-func (f *fragile) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP runs a call, or simulates a crash: it closes the listener and all connections.
+func (f *crashingBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !strings.HasSuffix(r.URL.Path, "/broken") {
 		f.Backend.ServeHTTP(w, r)
 
@@ -58,21 +58,21 @@
 	f.server.CloseClientConnections()
 }
 
-// The first press ended one backend server; then the caller opens ten windows at the same
-// time, through all nodes. A copy runs by permission of the node that saw the crash. Who
-// asked was sent to the port of that node's backend server, had no answer, and ran its
-// copy: as many ended as copies found a node.
-func TestCopiesOfASuspectRunOneAfterTheOther(t *testing.T) {
+// A call has crashed one backend server, and its caller sends many copies at once through all nodes.
+// Each copy needs a permission from the node that saw the crash. If permission requests go to the port
+// of that node's backend server, they get no answer, and each copy that finds a node crashes a backend
+// server.
+func TestCopiesOfSuspectCallRunOneAtATime(t *testing.T) {
 	f := newFleet(t, "ledger", "ledger", "ledger", "ledger")
 
 	var crashes atomic.Int32
 
 	for _, h := range f.hosts {
-		h.server.Config.Handler = &fragile{Backend: h.backend, server: h.server, crashes: &crashes}
+		h.server.Config.Handler = &crashingBackend{Backend: h.backend, server: h.server, crashes: &crashes}
 	}
 
 	f.store.Write(platform.ConfigurationKey, standin.Document(1, "ledger"))
-	f.announced(t)
+	f.announceAll(t)
 
 	for _, h := range f.hosts {
 		eventually(t, h.serves)
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -12,27 +12,25 @@
 	"github.com/pollencart/pollencart/internal/timeline"
 )
 
-// lookForSettings is the pause between looks at the settings file, which may change
-// without a signal.
-const lookForSettings = 2 * time.Second
+// settingsPollInterval is how often the settings file is checked for a change without a signal.
+const settingsPollInterval = 2 * time.Second
 
-// Follow reads the settings file again at each signal, and when its text changes,
-// until ctx ends. Calls in flight go on: only bounds change, everything else needs a
-// restart and is refused.
+// Follow reloads the settings file on each signal and when its content changes, until ctx ends.
+// It applies changed bounds without an effect on calls in flight, and rejects other changes,
+// which need a restart.
 func (n *Sidecar) Follow(ctx context.Context, file string, signals <-chan os.Signal) {
-	// The file may have changed since it was read at the start, so the first look takes
-	// it for changed.
+	// nil makes the first check reload the file, which may have changed since the start.
 	var last []byte
 
 	for {
-		asked := false
+		signalled := false
 
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
-			asked = true
-		case <-time.After(lookForSettings):
+			signalled = true
+		case <-time.After(settingsPollInterval):
 		}
 
 		data, err := os.ReadFile(file)
@@ -40,18 +38,18 @@
 		switch {
 		case err != nil:
 			n.recorder.Record(event.SettingsRefused, timeline.Entry{Detail: err.Error()})
-		case asked || !bytes.Equal(data, last):
-			n.reload(file, data, asked)
+		case signalled || !bytes.Equal(data, last):
+			n.reload(file, data, signalled)
 
 			last = data
 		}
 	}
 }
 
-// Settings returns the settings that hold now.
+// Settings returns the active settings.
 func (n *Sidecar) Settings() config.Config { return *n.settings.Load() }
 
-func (n *Sidecar) reload(file string, data []byte, asked bool) {
+func (n *Sidecar) reload(file string, data []byte, signalled bool) {
 	next, err := config.Parse(file, data)
 	if err != nil {
 		n.recorder.Record(event.SettingsRefused, timeline.Entry{Detail: err.Error()})
@@ -60,12 +58,12 @@
 	}
 
 	before := n.settings.Load()
-	if next == *before && !asked {
+	if next == *before && !signalled {
 		return
 	}
 
 	if next != before.WithBounds(next.Bounds) {
-		n.recorder.Record(event.SettingsRefused, timeline.Entry{Detail: "more than bounds has changed, which takes a restart"})
+		n.recorder.Record(event.SettingsRefused, timeline.Entry{Detail: "settings other than Bounds changed; restart the node to apply them"})
 
 		return
 	}
@@ -76,11 +74,11 @@
 	}
 
 	n.settings.Store(&next)
-	n.budget.Bind(boundOf(next))
+	n.budget.Bind(retryBound(next))
 	n.recorder.Record(event.SettingsRead, timeline.Entry{Detail: detail})
 }
 
-func boundOf(c config.Config) retrybudget.Bound {
+func retryBound(c config.Config) retrybudget.Bound {
 	return retrybudget.Bound{
 		Ratio: c.Bounds.RetryRatio, Slack: c.Bounds.RetrySlack, Window: config.Seconds(c.Bounds.RetryWindowSeconds),
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,11 +1,10 @@
-// Package sidecar puts one process together as it runs on the users' platform:
-// beside each backend server, with nothing on disk, and the platform's store for
-// what must last.
+// Package sidecar assembles the node process that runs on the host of each backend server on the
+// users' platform. It keeps no state on disk; durable state is in the platform's store.
 //
-// A call comes in at ingress, dispatch chooses a node for it, and runner on that
-// node lets it in to the backend server. Nodes find each other by discovery and
-// know each other by membership; configsync brings the configuration; announce follows
-// the backend server on the host, and tombstone keeps its leaving.
+// Package ingress receives a call, dispatch chooses the node to run it, and runner on that node
+// admits it to the backend server. Nodes find each other through discovery and track each other
+// through membership. Package configsync distributes the configuration, announce tracks the local
+// backend server, and tombstone records its confirmed departures.
 //
 // # Usage
 //
@@ -50,22 +49,22 @@
 	"github.com/pollencart/pollencart/platform"
 )
 
-// recorded bounds the time line's memory: events of each of the two rings.
-const recorded = 512
+// timelineSize is the number of events in each of the two rings of the timeline.
+const timelineSize = 512
 
-// dialTimeout is some hundred times the way between hosts. Calls that have no other
-// node to go to wait for it.
+// dialTimeout is about a hundred times the round-trip time between hosts. A call waits for it if no
+// other node can run the call.
 const dialTimeout = 300 * time.Millisecond
 
-// Sidecar is one process beside one backend server.
+// Sidecar is one node process on a backend server's host.
 type Sidecar struct {
-	config   config.Config                 // as at the start
-	settings atomic.Pointer[config.Config] // as read last
+	config   config.Config                 // as read at the start
+	settings atomic.Pointer[config.Config] // as reloaded last
 	budget   *retrybudget.Budget
 	recorder *timeline.Recorder
 	meter    *meter.Meter
 	draining *draining.Intake
-	// withdrawn is set once other nodes are to send no calls here.
+	// withdrawn is set once the drain has announced the backend server as draining.
 	withdrawn atomic.Bool
 
 	server *peer.Server
@@ -84,40 +83,41 @@
 	queue *slots.Queue
 	pool  *backend.Pool
 	watch *poison.Watch
-	// stall notices when this process stands still.
-	stall   *stall.Watchdog
-	runner  *runner.Runner
-	entry   *dispatch.Dispatcher
-	ingress *ingress.Server
+	// stall detects stalls of this process.
+	stall      *stall.Watchdog
+	runner     *runner.Runner
+	dispatcher *dispatch.Dispatcher
+	ingress    *ingress.Server
 
 	mu        sync.Mutex
-	instance  tombstone.Instance // that the connections of the pool lead to
+	instance  tombstone.Instance // the instance that the pool is connected to
 	listeners []net.Listener
-	callers   net.Listener // that of the callers, one of these
-	servers   []*http.Server
+	// callerListener is the element of listeners that accepts callers.
+	callerListener net.Listener
+	servers        []*http.Server
 }
 
-// New returns a sidecar that does not listen yet.
+// New returns a sidecar that does not listen until Run.
 func New(c config.Config, logger *slog.Logger) *Sidecar {
 	m := meter.New()
 	n := &Sidecar{
-		config: c, budget: retrybudget.New(boundOf(c)), meter: m, holder: &route.Holder{}, draining: draining.New(), stall: stall.New(),
+		config: c, budget: retrybudget.New(retryBound(c)), meter: m, holder: &route.Holder{}, draining: draining.New(), stall: stall.New(),
 		epoch: epoch.New(),
 	}
 	n.settings.Store(&c)
-	n.recorder = timeline.New(timeline.Node(c.Node), timeline.Logger(logger), timeline.Size(recorded))
-	n.store = platform.NewStore(c.StoreAddress, n.epoch, m.Called, n.unreadable)
-	n.fleet()
+	n.recorder = timeline.New(timeline.Node(c.Node), timeline.Logger(logger), timeline.Size(timelineSize))
+	n.store = platform.NewStore(c.StoreAddress, n.epoch, m.Called, n.recordSkippedEntry)
+	n.initMembership()
 	n.backend()
-	n.entries()
-	n.methods()
-	n.gauges()
+	n.initIngress()
+	n.registerPeerMethods()
+	n.registerGauges()
 
 	return n
 }
 
-// fleet makes what knows the other nodes.
-func (n *Sidecar) fleet() {
+// initMembership creates the components that communicate with other nodes and the store.
+func (n *Sidecar) initMembership() {
 	c := n.config
 	links := []peer.Option{
 		peer.WithClock(n.recorder.Clock()), peer.Address(c.PeerAddress), peer.WithDialTimeout(dialTimeout),
@@ -142,7 +142,7 @@
 	n.tombstone = tombstone.New(n.store, n.client, n.table).WithEpoch(n.epoch, n.recorder)
 }
 
-// backend makes what leads to the backend server on this host.
+// backend creates the components that run calls at the local backend server.
 func (n *Sidecar) backend() {
 	c := n.config
 	n.pool = backend.New(c.BackendAddress, platform.Headers())
@@ -150,7 +150,7 @@
 	n.watch = poison.NewWatch(poison.Self{Node: c.Node, BootID: ulid.Make().String(), Address: c.PeerAddress}, n.table, n.client, n.recorder).
 		WithStallDetector(n.stall)
 	n.host = announce.New(
-		announce.Recorder(n.recorder), announce.WithKeeper(n.tombstone), announce.Changed(n.changed), announce.Probe(n.probe),
+		announce.Recorder(n.recorder), announce.WithKeeper(n.tombstone), announce.Changed(n.publishBackendState), announce.Probe(n.probe),
 		announce.FirstStart(c.FirstStart), announce.Service(c.Service),
 	)
 	n.runner = runner.New(runner.Options{
@@ -158,19 +158,19 @@
 	})
 }
 
-// entries makes what takes calls of callers.
-func (n *Sidecar) entries() {
+// initIngress creates the components that accept and dispatch calls from callers.
+func (n *Sidecar) initIngress() {
 	c := n.config
-	n.entry = dispatch.New(dispatch.Options{
+	n.dispatcher = dispatch.New(dispatch.Options{
 		Node: c.Node, FailureDomain: c.FailureDomain, Service: c.Service, Names: platform.Headers(), Tables: n.holder,
 		Members: n.table, Peers: n.client, Own: n.runner, Balancer: balancer.New(), Recorder: n.recorder, Meter: n.meter,
 		Budget: n.budget, Intake: n.draining,
 	})
-	n.ingress = ingress.New(n.entry, ingress.Limits(n.holder), ingress.WithObserver(deliveries{n.recorder, n.meter}))
+	n.ingress = ingress.New(n.dispatcher, ingress.Limits(n.holder), ingress.WithObserver(deliveryObserver{n.recorder, n.meter}))
 }
 
-// methods adds what other nodes may ask of this one.
-func (n *Sidecar) methods() {
+// registerPeerMethods registers the methods that other nodes call.
+func (n *Sidecar) registerPeerMethods() {
 	n.server.Handle(membership.MethodExchange, peer.Typed(n.gossip.Serve))
 	n.server.Handle(membership.MethodProbe, peer.Typed(n.gossip.ServeProbe))
 	n.server.Handle(membership.MethodDigest, peer.Typed(n.gossip.ServeDigest))
@@ -185,7 +185,7 @@
 	}
 }
 
-func (n *Sidecar) gauges() {
+func (n *Sidecar) registerGauges() {
 	for _, g := range []struct {
 		name, help string
 		value      func() float64
@@ -202,12 +202,13 @@
 	}
 }
 
-// probe asks the backend server which instance it is.
+// probe checks the health of the backend server, which reports its instance.
 func (n *Sidecar) probe(ctx context.Context) backend.Health {
 	return n.pool.Probe(ctx, n.healthPath())
 }
 
-// defaultHealthPath is asked while no version is held.
+// defaultHealthPath is used if the active version names no health path for the service, or no version
+// is stored.
 const defaultHealthPath = "/health"
 
 func (n *Sidecar) healthPath() string {
@@ -220,25 +221,26 @@
 	return defaultHealthPath
 }
 
-// unreadable tells of an entry of the store that was left out of a list or watch.
-func (n *Sidecar) unreadable(key, reason string) {
+// recordSkippedEntry records a store entry that can't be read and was left out of a list or watch.
+func (n *Sidecar) recordSkippedEntry(key, reason string) {
 	n.recorder.Once(event.EntryDoubted, timeline.Entry{Detail: key + ": " + reason})
 }
 
-// changed tells everyone what the backend server on this host does now.
-func (n *Sidecar) changed(announce.State) {
+// publishBackendState applies the state of the local backend server to the queue and the membership
+// record, and announces the record.
+func (n *Sidecar) publishBackendState(announce.State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
 	s := n.host.State()
-	open := s.Slots
+	available := s.Slots
 
 	if !s.Takes {
-		open = 0
+		available = 0
 	}
 
-	// Connections to an earlier start are dead. Some were not closed, and a call sent on
-	// one can't be told from a call that ran.
+	// Connections to an earlier instance are dead. Some may not be closed yet, and a call that fails
+	// on one is indistinguishable from a call that ran.
 	if start := (tombstone.Instance{ID: s.Instance, Started: s.Started}); start != n.instance {
 		n.instance = start
 		n.pool.Forget()
@@ -246,7 +248,7 @@
 		go n.watch.Restarted(context.Background())
 	}
 
-	n.queue.Resize(open)
+	n.queue.Resize(available)
 	n.table.Update(func(r membership.Record) membership.Record {
 		r.Upstream = membership.Upstream{Service: n.config.Service, State: membership.UpstreamDraining, Slots: s.Slots}
 		if s.Takes && !n.withdrawn.Load() {
@@ -259,7 +261,7 @@
 	go n.gossip.SendChanges(context.Background())
 }
 
-// Run serves until ctx ends, then drains and returns.
+// Run serves calls until ctx ends, then drains and returns.
 func (n *Sidecar) Run(ctx context.Context) error {
 	if err := n.listen(); err != nil {
 		n.recorder.Record(event.NodeFailed, timeline.Entry{Detail: err.Error()})
@@ -274,8 +276,8 @@
 	var running sync.WaitGroup
 
 	for _, f := range []func(context.Context){
-		n.configsync.Run, n.gossip.Run, n.discovery.Run, n.tombstone.Run, n.stall.Run, n.watch.Run, n.begin,
-		n.followEpoch,
+		n.configsync.Run, n.gossip.Run, n.discovery.Run, n.tombstone.Run, n.stall.Run, n.watch.Run, n.waitForFirstVersion,
+		n.reportEpochChanges,
 	} {
 		running.Go(func() { f(work) })
 	}
@@ -290,16 +292,16 @@
 	return nil
 }
 
-// begin waits for the first version, which names the path at which the backend server
-// is asked for its health, and finds it.
-func (n *Sidecar) begin(ctx context.Context) {
-	const look = 20 * time.Millisecond
+// waitForFirstVersion waits for the first configuration version, which contains the health path, and
+// then looks for a running backend server.
+func (n *Sidecar) waitForFirstVersion(ctx context.Context) {
+	const interval = 20 * time.Millisecond
 
 	for n.holder.Number() == 0 {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(look):
+		case <-time.After(interval):
 		}
 	}
 
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -23,24 +23,24 @@
 	"github.com/pollencart/pollencart/platform/standin"
 )
 
-// patience bounds waits for what must come.
-const patience = 30 * time.Second
+// waitTimeout bounds waits for conditions that must become true.
+const waitTimeout = 30 * time.Second
 
-// fleet is a store and hosts with a node and a backend server each.
+// fleet is a store and a number of hosts, each with a node and a backend server.
 type fleet struct {
 	store *standin.Store
 	hosts []*host
 }
 
 type host struct {
-	config  config.Config
-	backend *standin.Backend
-	server  *httptest.Server
-	stop    context.CancelFunc
-	ended   chan struct{}
-	node    *sidecar.Sidecar
-	steps   steps
-	logger  *slog.Logger // steps if none
+	config     config.Config
+	backend    *standin.Backend
+	server     *httptest.Server
+	stop       context.CancelFunc
+	ended      chan struct{}
+	node       *sidecar.Sidecar
+	drainSteps drainSteps
+	logger     *slog.Logger // default: drainSteps
 }
 
 func newFleet(t *testing.T, services ...string) *fleet {
@@ -50,7 +50,7 @@
 	server := httptest.NewServer(f.store.Handler())
 
 	for i, service := range services {
-		h := &host{steps: make(steps, 16), backend: &standin.Backend{Instance: fmt.Sprintf("i-%d", i), Service: service, Slots: 4}}
+		h := &host{drainSteps: make(drainSteps, 16), backend: &standin.Backend{Instance: fmt.Sprintf("i-%d", i), Service: service, Slots: 4}}
 		b := httptest.NewServer(h.backend)
 		h.server = b
 		t.Cleanup(b.Close)
@@ -82,13 +82,13 @@
 	return f
 }
 
-// start runs a process of the node.
+// start starts a new node with the configuration of the host.
 func (h *host) start(t *testing.T) {
 	t.Helper()
 
 	ctx, cancel := context.WithCancel(context.Background())
 	h.stop, h.ended = cancel, make(chan struct{})
-	h.node = sidecar.New(h.config, cmp.Or(h.logger, slog.New(h.steps)))
+	h.node = sidecar.New(h.config, cmp.Or(h.logger, slog.New(h.drainSteps)))
 
 	go func() {
 		defer close(h.ended)
@@ -97,8 +97,8 @@
 	}()
 }
 
-func (h *host) announce(leaving bool) int {
-	status, err := h.backend.Announce(h.config.AnnounceAddress, h.config.BackendAddress, leaving)
+func (h *host) announce(departing bool) int {
+	status, err := h.backend.Announce(h.config.AnnounceAddress, h.config.BackendAddress, departing)
 	if err != nil {
 		return 0
 	}
@@ -106,8 +106,8 @@
 	return status
 }
 
-// announced has all backend servers announce themselves until all nodes serve.
-func (f *fleet) announced(t *testing.T) {
+// announceAll announces all backend servers, and retries until each node accepts the announcement.
+func (f *fleet) announceAll(t *testing.T) {
 	t.Helper()
 
 	for _, h := range f.hosts {
@@ -119,8 +119,8 @@
 	t.Helper()
 
 	for start := time.Now(); !f(); time.Sleep(20 * time.Millisecond) {
-		if time.Since(start) > patience {
-			t.Fatal("it did not come about")
+		if time.Since(start) > waitTimeout {
+			t.Fatal("condition not met within the wait timeout")
 		}
 	}
 }
@@ -162,13 +162,13 @@
 	return status == http.StatusOK
 }
 
-// A call reaches a backend server beside another node, unchanged, with the service of
-// the host where it began; and the operator's next version is in force.
-func TestTheWholePath(t *testing.T) {
+// A call reaches a backend server on another host unchanged, with the service of the host that it
+// comes from. A new configuration version takes effect on all nodes.
+func TestCallRunsOnAnotherNodeAndNewVersionTakesEffect(t *testing.T) {
 	f := newFleet(t, "browse", "ledger", "ledger")
 	assert.Assert(t, !f.hosts[0].ready())
 	f.store.Write(platform.ConfigurationKey, standin.Document(1, "ledger"))
-	f.announced(t)
+	f.announceAll(t)
 	eventually(t, f.hosts[0].ready)
 	eventually(t, f.hosts[0].serves)
 
@@ -187,46 +187,45 @@
 	})
 }
 
-// A backend server says that it leaves and has its confirmation. The node is killed
-// and started anew, and an old heartbeat arrives: nothing is sent there any more.
-func TestNothingReachesABackendServerThatWasConfirmedToLeave(t *testing.T) {
+// A backend server has a confirmation of its departure. Its node restarts and receives a delayed
+// heartbeat: the backend server must get no more calls.
+func TestNoCallReachesBackendServerAfterConfirmedDeparture(t *testing.T) {
 	f := newFleet(t, "ledger", "ledger")
 	f.store.Write(platform.ConfigurationKey, standin.Document(1, "ledger"))
-	f.announced(t)
+	f.announceAll(t)
 	eventually(t, f.hosts[1].serves)
 	eventually(t, f.hosts[0].serves)
 
-	leaving := f.hosts[0]
-	assert.Equal(t, leaving.announce(true), http.StatusOK)
+	departing := f.hosts[0]
+	assert.Equal(t, departing.announce(true), http.StatusOK)
 
-	before := leaving.backend.Calls()
+	before := departing.backend.Calls()
 
 	for i := range 20 {
 		status, _, _ := f.hosts[i%2].call("after")
 		assert.Equal(t, status, http.StatusOK)
 	}
 
-	leaving.stop()
-	<-leaving.ended
-	leaving.start(t)
-	eventually(t, leaving.ready)
-	assert.Equal(t, leaving.announce(false), http.StatusOK)
-	eventually(t, leaving.serves)
+	departing.stop()
+	<-departing.ended
+	departing.start(t)
+	eventually(t, departing.ready)
+	assert.Equal(t, departing.announce(false), http.StatusOK)
+	eventually(t, departing.serves)
 
 	for range 20 {
-		leaving.call("after the restart")
+		departing.call("after the restart")
 	}
 
-	after := leaving.backend.Calls()
+	after := departing.backend.Calls()
 	assert.Equal(t, len(after), len(before))
 }
 
-// The node is stopped while calls run. It is not ready at once, and every call has its
-// answer.
-func TestAPlannedStopCutsNothingOff(t *testing.T) {
+// A node that drains while calls run reports at once that it is not ready, and answers all calls.
+func TestDrainAnswersCallsInFlight(t *testing.T) {
 	f := newFleet(t, "ledger", "ledger")
 	f.store.Write(platform.ConfigurationKey, standin.Document(1, "ledger"))
-	f.announced(t)
+	f.announceAll(t)
 
 	for _, h := range f.hosts {
 		eventually(t, h.serves)
@@ -254,13 +253,12 @@
 	<-stopping.ended
 }
 
-// A node is stopped as planned, and its backend server, which runs on, is the only one
-// of its service. Callers elsewhere must not be told that nobody serves them for the
-// whole time in which the node keeps its own callers.
-func TestANodeThatIsStoppedServesOthersAsLongAsItsOwnCallers(t *testing.T) {
+// A node drains whose backend server, still running, is the only one of its service. Other nodes must
+// not fail their calls while the draining node still serves its own callers.
+func TestDrainingNodeServesOtherNodesWhileItServesItsCallers(t *testing.T) {
 	f := newFleet(t, "ledger", "browse")
 	f.store.Write(platform.ConfigurationKey, standin.Document(1, "ledger"))
-	f.announced(t)
+	f.announceAll(t)
 	eventually(t, f.hosts[1].serves)
 
 	stopping := f.hosts[0]
@@ -276,12 +274,12 @@
 	<-stopping.ended
 }
 
-// The store is away. Nodes go on with what they hold, and no more calls run at a
-// backend server than it has slots.
-func TestAStoreThatIsAway(t *testing.T) {
+// Without the store, nodes continue with their stored configuration, and a backend server runs no more
+// calls at once than it has slots.
+func TestNodeServesCallsWithoutTheStore(t *testing.T) {
 	f := newFleet(t, "ledger")
 	f.store.Write(platform.ConfigurationKey, standin.Document(1, "ledger"))
-	f.announced(t)
+	f.announceAll(t)
 	eventually(t, f.hosts[0].serves)
 	f.store.Fault(func(string) int { return http.StatusServiceUnavailable })
 
@@ -302,9 +300,8 @@
 	assert.Assert(t, f.hosts[0].backend.Most() <= 4)
 }
 
-// The settings file changes without a signal. Bounds are taken over; what needs a
-// restart is refused, and so is a file that is cut short.
-func TestSettingsAreReadAgain(t *testing.T) {
+// The settings file changes without a signal. Changed bounds are applied; a truncated file is rejected.
+func TestChangedSettingsFileUpdatesBounds(t *testing.T) {
 	f := newFleet(t, "ledger")
 	h := f.hosts[0]
 	file := filepath.Join(t.TempDir(), "node.jsonc")
--- a/internal/sidecar/stayers_test.go
+++ b/internal/sidecar/stayers_test.go
@@ -19,26 +19,26 @@
 	"github.com/pollencart/pollencart/platform/standin"
 )
 
-// stayers are callers of one host that nobody takes out of use: they go on until its
+// persistentCallers are callers that ignore the readiness of a node: they keep sending until its
 // process has ended.
-type stayers struct {
+type persistentCallers struct {
 	address  string
-	patience time.Duration
-	calling  sync.WaitGroup
-
-	mu       sync.Mutex
-	sent     int
-	statuses map[int]int
-	turned   int      // refusals that name the stop
-	unnamed  int      // refusals without a time to come back
-	cut      []string // calls whose connection ended without their answer
+	timeout  time.Duration
+	inFlight sync.WaitGroup
+
+	mu                sync.Mutex
+	sent              int
+	statuses          map[int]int
+	drainRefusals     int      // refusals with the text of a draining node
+	withoutRetryAfter int      // refusals without Retry-After
+	lostIDs           []string // calls whose connection ended before the response
 }
 
-func newStayers(h *host, patience time.Duration) *stayers {
-	return &stayers{address: h.config.CallerAddress, patience: patience, statuses: map[int]int{}}
+func newPersistentCallers(h *host, timeout time.Duration) *persistentCallers {
+	return &persistentCallers{address: h.config.CallerAddress, timeout: timeout, statuses: map[int]int{}}
 }
 
-func (s *stayers) name() string {
+func (s *persistentCallers) nextID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -47,58 +47,58 @@
 	return fmt.Sprintf("stayer-%d", s.sent)
 }
 
-func (s *stayers) answered(r *http.Response, body string) {
+func (s *persistentCallers) recordAnswer(r *http.Response, body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	s.statuses[r.StatusCode]++
 
 	if strings.Contains(body, "this node is being stopped") {
-		s.turned++
+		s.drainRefusals++
 	}
 
 	if r.StatusCode == http.StatusServiceUnavailable && r.Header.Get("Retry-After") == "" {
-		s.unnamed++
+		s.withoutRetryAfter++
 	}
 }
 
-func (s *stayers) lost(ids ...string) {
+func (s *persistentCallers) recordLost(ids ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.cut = append(s.cut, ids...)
+	s.lostIDs = append(s.lostIDs, ids...)
 }
 
-func (s *stayers) request(id string) string {
+func (s *persistentCallers) request(id string) string {
 	names := platform.Headers()
 
 	return fmt.Sprintf("GET /safe/%s HTTP/1.1\r\nHost: 127.0.0.1\r\n%s: %s\r\n%s: %d\r\n\r\n", id, names.Call, id, names.Deadline,
-		s.patience.Milliseconds())
+		s.timeout.Milliseconds())
 }
 
-// alone sends one call on a connection of its own.
-func (s *stayers) alone() {
+// sendOne sends one call on a new connection.
+func (s *persistentCallers) sendOne() {
 	c, err := net.Dial("tcp", s.address)
 	if err != nil {
-		return // refused before anything was sent
+		return // connection refused, nothing was sent
 	}
 	defer func() { _ = c.Close() }()
 
-	id := s.name()
+	id := s.nextID()
 
 	if _, err := io.WriteString(c, s.request(id)); err != nil {
-		s.lost(id)
+		s.recordLost(id)
 
 		return
 	}
 
 	if !s.read(bufio.NewReader(c)) {
-		s.lost(id)
+		s.recordLost(id)
 	}
 }
 
-// read reads one whole answer.
-func (s *stayers) read(in *bufio.Reader) bool {
+// read reads one complete response and records it.
+func (s *persistentCallers) read(in *bufio.Reader) bool {
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return false
@@ -109,14 +109,13 @@
 		return false
 	}
 
-	s.answered(r, string(body))
+	s.recordAnswer(r, string(body))
 
 	return true
 }
 
-// ahead sends calls on one connection, the next one always before the last is answered,
-// until the connection ends.
-func (s *stayers) ahead(ctx context.Context, pause time.Duration) {
+// pipeline sends calls on one connection without waiting for responses, until the connection ends.
+func (s *persistentCallers) pipeline(ctx context.Context, pause time.Duration) {
 	c, err := net.Dial("tcp", s.address)
 	if err != nil {
 		return
@@ -130,7 +129,7 @@
 
 	go func() {
 		for ctx.Err() == nil {
-			id := s.name()
+			id := s.nextID()
 
 			mu.Lock()
 			waiting = append(waiting, id)
@@ -153,30 +152,30 @@
 	mu.Lock()
 	defer mu.Unlock()
 
-	s.lost(waiting...)
+	s.recordLost(waiting...)
 }
 
-// until keeps calls coming until ctx ends: some on connections of their own, some ahead.
-func (s *stayers) until(ctx context.Context, pause time.Duration) {
+// keepSending sends calls until ctx ends, some on new connections and some pipelined.
+func (s *persistentCallers) keepSending(ctx context.Context, pause time.Duration) {
 	for range 3 {
-		s.calling.Go(func() {
+		s.inFlight.Go(func() {
 			for ctx.Err() == nil {
-				s.ahead(ctx, pause)
+				s.pipeline(ctx, pause)
 				time.Sleep(pause)
 			}
 		})
 	}
 
-	s.calling.Go(func() {
+	s.inFlight.Go(func() {
 		for ctx.Err() == nil {
-			s.calling.Go(s.alone)
+			s.inFlight.Go(s.sendOne)
 			time.Sleep(pause)
 		}
 	})
 }
 
-// ranWithoutAnswer returns the calls that a backend server ran and whose caller got none.
-func (s *stayers) ranWithoutAnswer(f *fleet) []string {
+// ranWithoutAnswer returns the calls that a backend server ran and whose caller got no response.
+func (s *persistentCallers) ranWithoutAnswer(f *fleet) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -184,7 +183,7 @@
 
 	for _, h := range f.hosts {
 		for _, id := range h.backend.Calls() {
-			if slices.Contains(s.cut, id) {
+			if slices.Contains(s.lostIDs, id) {
 				out = append(out, id)
 			}
 		}
@@ -198,14 +197,14 @@
 	return []byte(strings.ReplaceAll(string(standin.Document(1, services...)), `"safe",2,1,1`, `"safe",30,30,1`))
 }
 
-// steps are the steps of a node's stops, as its lines tell them.
-type steps chan string
+// drainSteps receives the drain steps that a node logs.
+type drainSteps chan string
 
-func (s steps) Enabled(context.Context, slog.Level) bool { return true }
-func (s steps) WithAttrs([]slog.Attr) slog.Handler       { return s }
-func (s steps) WithGroup(string) slog.Handler            { return s }
+func (s drainSteps) Enabled(context.Context, slog.Level) bool { return true }
+func (s drainSteps) WithAttrs([]slog.Attr) slog.Handler       { return s }
+func (s drainSteps) WithGroup(string) slog.Handler            { return s }
 
-func (s steps) Handle(_ context.Context, r slog.Record) error {
+func (s drainSteps) Handle(_ context.Context, r slog.Record) error {
 	if r.Message != event.NodeDrainStep.Name {
 		return nil
 	}
@@ -214,7 +213,7 @@
 		if a.Key == "Detail" {
 			select {
 			case s <- a.Value.String():
-			default: // nobody waits for so many
+			default: // the test awaits fewer steps than fit
 			}
 		}
 
@@ -224,18 +223,18 @@
 	return nil
 }
 
-// await waits for a step.
-func (s steps) await(t *testing.T, step string) {
+// await waits until the node logs a step.
+func (s drainSteps) await(t *testing.T, step string) {
 	t.Helper()
 
 	for {
 		select {
-		case told := <-s:
-			if strings.HasPrefix(told, step) {
+		case reached := <-s:
+			if strings.HasPrefix(reached, step) {
 				return
 			}
-		case <-time.After(patience):
-			t.Fatalf("no step %q", step)
+		case <-time.After(waitTimeout):
+			t.Fatalf("drain step %q was not logged", step)
 		}
 	}
 }
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -18,13 +18,14 @@
 	"github.com/pollencart/pollencart/platform/standin"
 )
 
-// Callers that nobody takes out of use must not keep a stop open until calls are cut off.
-func TestAStopEndsWhileItsCallersGoOn(t *testing.T) {
-	const lastSixth = 5 * time.Second // of the grace time, for what may still run then
+// Callers that keep sending to a node that is not ready must not delay its drain until calls are cut
+// off.
+func TestDrainEndsWhileCallersKeepSending(t *testing.T) {
+	const lastSixth = 5 * time.Second // the last sixth of the grace time is left for calls still in flight
 
 	f := newFleet(t, "ledger", "ledger", "browse")
 	f.store.Write(platform.ConfigurationKey, standin.Document(1, "ledger"))
-	f.announced(t)
+	f.announceAll(t)
 
 	for _, h := range f.hosts {
 		eventually(t, h.serves)
@@ -35,8 +36,8 @@
 	defer cancel()
 
 	stopping := f.hosts[2]
-	s := newStayers(stopping, 2*time.Second)
-	s.until(ctx, 80*time.Millisecond)
+	s := newPersistentCallers(stopping, 2*time.Second)
+	s.keepSending(ctx, 80*time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
 
 	began := time.Now()
@@ -46,80 +47,80 @@
 	took := time.Since(began)
 
 	cancel()
-	s.calling.Wait()
-	t.Logf("%s, %d calls, answers %v, cut off %d", took, s.sent, s.statuses, len(s.cut))
+	s.inFlight.Wait()
+	t.Logf("%s, %d calls, answers %v, cut off %d", took, s.sent, s.statuses, len(s.lostIDs))
 
 	assert.Check(t, took < lastSixth, "%s", took)
 	assert.Check(t, len(s.ranWithoutAnswer(f)) == 0, "%v", s.ranWithoutAnswer(f))
-	assert.Check(t, s.unnamed == 0)
+	assert.Check(t, s.withoutRetryAfter == 0)
 	assert.Check(t, s.statuses[http.StatusOK] > 0)
 }
 
-// A call that comes once a stop takes none must be rejected at once with 503, and not run.
-func TestAStopRejectsWhatItCannotEnd(t *testing.T) {
+// A call that arrives after the intake has closed must be rejected at once with 503, and not run.
+func TestDrainRejectsLateCallsWithoutRunningThem(t *testing.T) {
 	f := newFleet(t, "ledger", "browse")
 	f.store.Write(platform.ConfigurationKey, slowDocument("ledger"))
-	f.announced(t)
+	f.announceAll(t)
 
 	stopping := f.hosts[1]
 	eventually(t, stopping.serves)
 	f.hosts[0].backend.Work = 4500 * time.Millisecond
 
-	taken := newStayers(stopping, 20*time.Second)
-	taken.calling.Go(taken.alone)
+	taken := newPersistentCallers(stopping, 20*time.Second)
+	taken.inFlight.Go(taken.sendOne)
 	eventually(t, func() bool { return len(f.hosts[0].backend.Calls()) > 1 })
 	stopping.stop()
-	stopping.steps.await(t, "calls of callers are refused")
-	time.Sleep(50 * time.Millisecond) // the line comes first
+	stopping.drainSteps.await(t, "calls of callers are refused")
+	time.Sleep(50 * time.Millisecond) // the step is logged before the intake closes
 
 	before := len(f.hosts[0].backend.Calls())
-	late := newStayers(stopping, 2*time.Second)
+	late := newPersistentCallers(stopping, 2*time.Second)
 
 	for range 10 {
 		began := time.Now()
 
-		late.alone()
+		late.sendOne()
 		assert.Check(t, time.Since(began) < 500*time.Millisecond)
 	}
 
 	<-stopping.ended
-	taken.calling.Wait()
+	taken.inFlight.Wait()
 
 	assert.DeepEqual(t, taken.statuses, map[int]int{http.StatusOK: 1})
 	assert.DeepEqual(t, late.statuses, map[int]int{http.StatusServiceUnavailable: 10})
-	assert.Equal(t, late.turned, 10)
-	assert.Equal(t, late.unnamed, 0)
+	assert.Equal(t, late.drainRefusals, 10)
+	assert.Equal(t, late.withoutRetryAfter, 0)
 	assert.Equal(t, len(f.hosts[0].backend.Calls()), before)
 }
 
-// A call that does not end in the grace time gets an answer, not the end of its connection.
-func TestAStopAnswersTheCallsThatItGivesUp(t *testing.T) {
+// A call that does not end within the grace time gets a response before its connection is closed.
+func TestDrainAnswersAbandonedCalls(t *testing.T) {
 	f := newFleet(t, "ledger", "browse")
 	f.store.Write(platform.ConfigurationKey, slowDocument("ledger"))
-	f.announced(t)
+	f.announceAll(t)
 
 	stopping := f.hosts[1]
 	eventually(t, stopping.serves)
 	f.hosts[0].backend.Work = time.Minute
 
-	s := newStayers(stopping, 20*time.Second)
-	s.calling.Go(s.alone)
+	s := newPersistentCallers(stopping, 20*time.Second)
+	s.inFlight.Go(s.sendOne)
 	eventually(t, func() bool { return len(f.hosts[0].backend.Calls()) > 1 })
 	stopping.stop()
 	<-stopping.ended
-	s.calling.Wait()
+	s.inFlight.Wait()
 
-	assert.Equal(t, len(s.cut), 0, "%v", s.cut)
+	assert.Equal(t, len(s.lostIDs), 0, "%v", s.lostIDs)
 	assert.DeepEqual(t, s.statuses, map[int]int{http.StatusBadGateway: 1})
 }
 
-// A caller that reads a large answer slowly gets all of it, if it is read in the grace time.
-func TestAStopWaitsForAnAnswerThatIsBeingWritten(t *testing.T) {
+// A caller that reads a large response slowly gets all of it if it finishes within the grace time.
+func TestDrainWaitsForResponseBeingWritten(t *testing.T) {
 	const size = 24 << 20
 
 	f := newFleet(t, "ledger")
 	f.store.Write(platform.ConfigurationKey, []byte(strings.ReplaceAll(string(standin.Document(1, "ledger")), "1000000", "64000000")))
-	f.announced(t)
+	f.announceAll(t)
 
 	h := f.hosts[0]
 	eventually(t, h.serves)
@@ -149,20 +150,20 @@
 	assert.NilError(t, err)
 }
 
-// A call of another node that waits for a slot when the stop gives up has not run, and its
-// caller must be told so.
-func TestAStopTurnsAwayWhatStillWaitsAtItsGate(t *testing.T) {
+// A call from another node that still waits for a slot at the end of the drain has not run, and its
+// caller must get a response that says so.
+func TestDrainRejectsCallsQueuedAtTheGate(t *testing.T) {
 	f := newFleet(t, "ledger", "browse")
 	f.store.Write(platform.ConfigurationKey, slowDocument("ledger"))
-	f.announced(t)
+	f.announceAll(t)
 
 	eventually(t, f.hosts[1].serves)
 	stopping := f.hosts[0]
 	stopping.backend.Work = time.Minute
 
-	s := newStayers(f.hosts[1], 20*time.Second)
+	s := newPersistentCallers(f.hosts[1], 20*time.Second)
 	for range 6 {
-		s.calling.Go(s.alone)
+		s.inFlight.Go(s.sendOne)
 		time.Sleep(50 * time.Millisecond)
 	}
 
@@ -170,18 +171,18 @@
 	stopping.stop()
 	<-stopping.ended
 	t.Logf("ran %d", before)
-	s.calling.Wait()
-	t.Logf("%v, cut %v", s.statuses, s.cut)
+	s.inFlight.Wait()
+	t.Logf("%v, cut %v", s.statuses, s.lostIDs)
 	assert.DeepEqual(t, s.statuses, map[int]int{
 		http.StatusBadGateway: stopping.backend.Slots, http.StatusServiceUnavailable: 6 - stopping.backend.Slots,
 	})
 }
 
-// The whole stop, with a store that does not answer and a caller that does not close.
-func TestAStopIsOverBeforeTheProcessIsKilled(t *testing.T) {
+// The drain ends in time although the store responds late and a caller keeps its connection open.
+func TestDrainEndsInTimeWithSlowStoreAndOpenConnection(t *testing.T) {
 	f := newFleet(t, "ledger", "browse")
 	f.store.Write(platform.ConfigurationKey, slowDocument("ledger"))
-	f.announced(t)
+	f.announceAll(t)
 
 	stopping := f.hosts[1]
 	eventually(t, stopping.serves)
@@ -211,19 +212,19 @@
 	assert.Check(t, took < 5900*time.Millisecond, "%s", took)
 }
 
-// A leaving that is being kept when the process ends must still be confirmed.
-func TestALeavingInTheLastMomentOfAStopIsConfirmed(t *testing.T) {
+// A departure whose record is being written when the process ends must still be confirmed.
+func TestDepartureDuringDrainIsConfirmed(t *testing.T) {
 	f := newFleet(t, "ledger", "ledger")
 	f.store.Write(platform.ConfigurationKey, standin.Document(1, "ledger"))
-	f.announced(t)
+	f.announceAll(t)
 
 	stopping := f.hosts[0]
 	eventually(t, stopping.serves)
 
 	stopping.stop()
-	stopping.steps.await(t, "other nodes are told to send no calls")
+	stopping.drainSteps.await(t, "other nodes are told to send no calls")
 
-	var first atomic.Bool // the first write is that of the leaving
+	var first atomic.Bool // the first write is the record of the departure
 
 	f.store.Fault(func(path string) int {
 		if strings.Contains(path, "txn") && !first.Swap(true) {
@@ -243,6 +244,6 @@
 	case status := <-answered:
 		assert.Equal(t, status, http.StatusOK)
 	case <-time.After(20 * time.Millisecond): // for the answer to be read
-		t.Error("the process ended before it confirmed the leaving")
+		t.Error("the process ended before it confirmed the departure")
 	}
 }
