--- a/internal/sidecar/config/config.go
+++ b/internal/sidecar/config/config.go
@@ -1,10 +1,8 @@
-// Package config reads the settings file of a node that runs as a sidecar on the
-// users' platform.
+// Package config reads the settings file of a node that runs as a sidecar on the users' platform.
 //
-// The file is JSON with comments, rendered by the platform at every start and
-// whenever the settings change. It tells what the process can't learn from anyone
-// else: who it is, its addresses, where the store is, and the bounds that the
-// deployment promises.
+// The file is JSON with comments. The platform renders it at every start and whenever the settings
+// change. It contains what the process can't discover: the node's identity, its addresses, the
+// address of the store, and the bounds that the deployment guarantees.
 //
 //	c, err := config.Load("/etc/pollencart/node.jsonc")
 package config
@@ -19,68 +17,67 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// ErrConfig is returned for a file that can't be used.
+// ErrConfig is returned for a settings file that can't be read or has invalid values.
 var ErrConfig = errs.New("sidecar.config", http.StatusBadRequest, "settings file not accepted")
 
 // Config is the settings file of one node.
 type Config struct {
-	// Node names the host; Region and FailureDomain say where it stands.
+	// Node names the host; Region and FailureDomain are its location.
 	Node          string `json:"Node"`
 	Region        string `json:"Region"`
 	FailureDomain string `json:"FailureDomain"`
-	// Service and BackendAddress are those of the backend server on this host.
+	// Service and BackendAddress describe the local backend server.
 	Service        string `json:"Service"`
 	BackendAddress string `json:"BackendAddress"`
-	// CallerAddress takes calls, PeerAddress frames of other nodes, ReadyAddress
-	// the platform's questions, AnnounceAddress heartbeats of the backend server.
+	// CallerAddress accepts calls, PeerAddress frames from other nodes, ReadyAddress readiness checks
+	// of the platform, and AnnounceAddress heartbeats of the backend server.
 	CallerAddress   string `json:"CallerAddress"`
 	PeerAddress     string `json:"PeerAddress"`
 	ReadyAddress    string `json:"ReadyAddress"`
 	AnnounceAddress string `json:"AnnounceAddress"`
 	MetricsAddress  string `json:"MetricsAddress"`
-	// Profiles serves profiles of the process on the metrics address, for whoever asks
-	// where its processor time or memory goes. Each costs some of both while it is taken.
+	// Profiles serves CPU and memory profiles on MetricsAddress. Taking one costs CPU time and memory.
 	Profiles bool `json:"Profiles"`
-	// StoreAddress is where the platform's store listens.
+	// StoreAddress is the address of the platform's store.
 	StoreAddress string `json:"StoreAddress"`
-	// LinkMbps is the bandwidth of the host's link. The nodes of a failure domain that
-	// have most of it pass settings on to the others.
+	// LinkMbps is the bandwidth of the host's link. The nodes with the highest bandwidth in a failure
+	// domain relay settings to the others.
 	LinkMbps float64 `json:"LinkMbps"`
-	// FirstStart says that the whole system starts for the first time: no earlier
-	// process can have confirmed anything.
+	// FirstStart marks the first start of the whole system: no earlier process can have confirmed
+	// anything.
 	FirstStart bool `json:"FirstStart"`
-	// AnnounceEverySeconds is the pause between heartbeats of a backend server.
+	// AnnounceEverySeconds is the heartbeat interval of a backend server.
 	AnnounceEverySeconds float64 `json:"AnnounceEverySeconds"`
 	Bounds               Bounds  `json:"Bounds"`
 }
 
-// Bounds are the figures that the deployment promises to its users.
+// Bounds are the limits that the deployment guarantees to its users.
 type Bounds struct {
-	// DrainSeconds is how long after its leaving was confirmed a backend server
-	// may still get calls.
+	// DrainSeconds is how long a backend server may still receive calls after its departure was
+	// confirmed.
 	DrainSeconds float64 `json:"DrainSeconds"`
-	// GraceSeconds is how long a process has after SIGTERM.
+	// GraceSeconds is how long a process may run after SIGTERM.
 	GraceSeconds float64 `json:"GraceSeconds"`
-	// ReuseSeconds is after how long an address may belong to another service.
+	// ReuseSeconds is the time after which the platform may assign an address to another service.
 	ReuseSeconds float64 `json:"ReuseSeconds"`
-	// RetryRatio and RetrySlack bound the repeats of a service in any window of
-	// RetryWindowSeconds: ratio x its calls + slack, over all nodes together.
+	// RetryRatio and RetrySlack bound the retries of a service in any window of RetryWindowSeconds,
+	// over all nodes together: RetryRatio x calls + RetrySlack.
 	RetryRatio         float64 `json:"RetryRatio"`
 	RetryWindowSeconds float64 `json:"RetryWindowSeconds"`
 	RetrySlack         float64 `json:"RetrySlack"`
 }
 
-// WithBounds returns the settings with other bounds.
+// WithBounds returns a copy of the settings with other bounds.
 func (c Config) WithBounds(b Bounds) Config {
 	c.Bounds = b
 
 	return c
 }
 
-// Seconds returns a duration of the file.
+// Seconds converts a number of seconds from the file to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads and checks a file.
+// Load reads and validates a settings file.
 func Load(file string) (Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -90,21 +87,21 @@
 	return Parse(file, data)
 }
 
-// Parse decodes and checks the text of a file.
+// Parse decodes and validates the content of a settings file.
 func Parse(file string, data []byte) (Config, error) {
 	var c Config
 	if err := jsonc.Decode(file, data, &c); err != nil {
 		return Config{}, err
 	}
 
-	if key, reason := c.fault(); key != "" {
+	if key, reason := c.validate(); key != "" {
 		return Config{}, ErrConfig.With("%s: key %s: %s", file, key, reason)
 	}
 
 	return c, nil
 }
 
-func (c Config) fault() (key, reason string) {
+func (c Config) validate() (key, reason string) {
 	for _, f := range []struct{ key, value string }{
 		{"Node", c.Node}, {"FailureDomain", c.FailureDomain}, {"Service", c.Service},
 	} {
@@ -123,10 +120,10 @@
 		}
 	}
 
-	return c.Bounds.fault()
+	return c.Bounds.validate()
 }
 
-func (b Bounds) fault() (key, reason string) {
+func (b Bounds) validate() (key, reason string) {
 	for _, f := range []struct {
 		key   string
 		value float64
--- a/internal/sidecar/config/config_test.go
+++ b/internal/sidecar/config/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/pollencart/pollencart/internal/sidecar/config"
 )
 
-const good = `// as the platform renders it
+const valid = `// rendered by the platform
 {
   "Node": "n", "Region": "r", "FailureDomain": "d", "Service": "s",
   "BackendAddress": "10.0.0.1:1", "CallerAddress": "10.0.0.1:2", "PeerAddress": "10.0.0.1:3", "ReadyAddress": "10.0.0.1:4",
@@ -18,13 +18,13 @@
   "Bounds": {"DrainSeconds": 2, "GraceSeconds": 6, "ReuseSeconds": 2, "RetryRatio": 0.2, "RetryWindowSeconds": 10, "RetrySlack": 58}
 }`
 
-func TestParse(t *testing.T) {
-	c, err := config.Parse("f", []byte(good))
+func TestParseAcceptsValidSettings(t *testing.T) {
+	c, err := config.Parse("f", []byte(valid))
 	assert.NilError(t, err)
 	assert.Equal(t, c.Bounds.RetrySlack, 58.0)
 }
 
-func TestBadFilesAreNamed(t *testing.T) {
+func TestParseNamesTheInvalidKey(t *testing.T) {
 	for change, want := range map[string]string{
 		`"Node": "n"->"Node": ""`:                 "key Node",
 		`"10.0.0.2:1"->"10.0.0.2"`:                "key StoreAddress",
@@ -33,7 +33,7 @@
 		`"FirstStart": true->"SecondStart": true`: "SecondStart",
 	} {
 		from, to, _ := strings.Cut(change, "->")
-		_, err := config.Parse("f", []byte(strings.Replace(good, from, to, 1)))
+		_, err := config.Parse("f", []byte(strings.Replace(valid, from, to, 1)))
 		assert.ErrorContains(t, err, want)
 	}
 }
