--- a/internal/sidecar/meter/meter.go
+++ b/internal/sidecar/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter counts what a sidecar does, for the metrics address.
+// Package meter collects the metrics of a sidecar and serves them over HTTP.
 //
 //	m := meter.New()
 //	http.Handle("/metrics", m.Handler())
@@ -21,31 +21,31 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// buckets of latencies in seconds, around the targets and timeouts of calls.
+// buckets returns histogram buckets in seconds around the latency targets and timeouts of calls.
 func buckets() []float64 {
 	return []float64{0.005, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.8, 1.2, 2, 3}
 }
 
-// Meter holds the counters of one process.
+// Meter holds the metrics of one process.
 type Meter struct {
-	registry *prometheus.Registry
-	calls    *prometheus.CounterVec
-	latency  *prometheus.HistogramVec
-	sent     prometheus.Counter
-	asked    prometheus.Counter
-	// undelivered counts answers that callers waited for and did not get.
-	undelivered prometheus.Counter
-	ran         *prometheus.CounterVec
-	waited      prometheus.Histogram
-	held        *prometheus.HistogramVec
-	store       *prometheus.HistogramVec
-	epochs      prometheus.Counter
-	repeats     *prometheus.CounterVec
-	messages    *prometheus.CounterVec
-	bytes       *prometheus.CounterVec
+	registry  *prometheus.Registry
+	calls     *prometheus.CounterVec
+	latency   *prometheus.HistogramVec
+	sends     prometheus.Counter
+	contacted prometheus.Counter
+	// undelivered counts responses that could not be sent to a caller that still waited.
+	undelivered  prometheus.Counter
+	runs         *prometheus.CounterVec
+	queueTime    prometheus.Histogram
+	serviceTime  *prometheus.HistogramVec
+	storeCalls   *prometheus.HistogramVec
+	epochChanges prometheus.Counter
+	retries      *prometheus.CounterVec
+	messages     *prometheus.CounterVec
+	bytes        *prometheus.CounterVec
 }
 
-// New returns a meter that has counted nothing.
+// New returns a meter with its metrics registered and all counters at zero.
 func New() *Meter {
 	m := &Meter{
 		registry: prometheus.NewRegistry(),
@@ -55,27 +55,27 @@
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "pollencart_call_seconds", Help: "Time from a call's last byte to its answer, in seconds.", Buckets: buckets(),
 		}, []string{"Route"}),
-		sent:  prometheus.NewCounter(prometheus.CounterOpts{Name: "pollencart_sends_total", Help: "Times calls reached a backend server."}),
-		asked: prometheus.NewCounter(prometheus.CounterOpts{Name: "pollencart_asks_total", Help: "Times a node was asked to run a call."}),
+		sends:     prometheus.NewCounter(prometheus.CounterOpts{Name: "pollencart_sends_total", Help: "Times calls reached a backend server."}),
+		contacted: prometheus.NewCounter(prometheus.CounterOpts{Name: "pollencart_asks_total", Help: "Times a node was asked to run a call."}),
 		undelivered: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pollencart_undelivered_total", Help: "Answers that could not be sent to callers that waited for them.",
 		}),
-		ran: prometheus.NewCounterVec(prometheus.CounterOpts{
+		runs: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pollencart_runs_total", Help: "Calls of any node for the backend server here, by result.",
 		}, []string{"Result"}),
-		waited: prometheus.NewHistogram(prometheus.HistogramOpts{
+		queueTime: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "pollencart_queue_seconds", Help: "Time that calls waited for a slot here, in seconds.", Buckets: buckets(),
 		}),
-		held: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		serviceTime: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "pollencart_run_seconds", Help: "Time that the backend server here took, in seconds.", Buckets: buckets(),
 		}, []string{"Route"}),
-		store: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		storeCalls: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "pollencart_store_seconds", Help: "Calls to the platform's store by kind and outcome, in seconds.", Buckets: buckets(),
 		}, []string{"Call", "Outcome"}),
-		epochs: prometheus.NewCounter(prometheus.CounterOpts{
+		epochChanges: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pollencart_store_epoch_changes_total", Help: "Times that the platform's store came back from an older copy.",
 		}),
-		repeats: prometheus.NewCounterVec(prometheus.CounterOpts{
+		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pollencart_repeats_total", Help: "Calls that another backend server might have answered, by whether the budget allowed it.",
 		}, []string{"Service", "Allowed"}),
 		messages: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -85,55 +85,56 @@
 			Name: "pollencart_message_bytes_total", Help: "Bytes of the bodies of these requests and their answers, both ways.",
 		}, []string{"Method", "Near"}),
 	}
-	m.registry.MustRegister(m.calls, m.latency, m.sent, m.asked, m.undelivered, m.ran, m.waited, m.held, m.store, m.epochs,
-		m.repeats, m.messages, m.bytes, invariant.Collector{}, collectors.NewGoCollector())
+	m.registry.MustRegister(m.calls, m.latency, m.sends, m.contacted, m.undelivered, m.runs, m.queueTime, m.serviceTime, m.storeCalls,
+		m.epochChanges, m.retries, m.messages, m.bytes, invariant.Collector{}, collectors.NewGoCollector())
 
 	return m
 }
 
-// Gauge adds a value that is asked for when the metrics are read.
+// Gauge registers a gauge whose value is read at each scrape.
 func (m *Meter) Gauge(name, help string, value func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 }
 
-// Answered counts what a caller got.
+// Answered records the outcome of a call from a caller.
 func (m *Meter) Answered(o dispatch.Outcome) {
 	m.calls.WithLabelValues(o.Route, strconv.Itoa(o.Status), strconv.FormatBool(o.Reason != "")).Inc()
 	m.latency.WithLabelValues(o.Route).Observe(o.Took.Seconds())
-	m.sent.Add(float64(o.Sent))
-	m.asked.Add(float64(o.Asked))
+	m.sends.Add(float64(o.Sent))
+	m.contacted.Add(float64(o.Asked))
 }
 
-// Undelivered counts an answer that a caller waited for and did not get.
+// Undelivered counts a response that could not be sent to a caller that still waited.
 func (m *Meter) Undelivered() { m.undelivered.Inc() }
 
-// Ran counts a call for the backend server of this host.
-func (m *Meter) Ran(route string, r forward.Result, waited, held time.Duration) {
-	m.ran.WithLabelValues(r.String()).Inc()
-	m.waited.Observe(waited.Seconds())
+// Ran records a call to the local backend server.
+func (m *Meter) Ran(route string, r forward.Result, queueTime, serviceTime time.Duration) {
+	m.runs.WithLabelValues(r.String()).Inc()
+	m.queueTime.Observe(queueTime.Seconds())
 
 	if r == forward.Answered {
-		m.held.WithLabelValues(route).Observe(held.Seconds())
+		m.serviceTime.WithLabelValues(route).Observe(serviceTime.Seconds())
 	}
 }
 
-// Exchanged counts a request to another node, and its answer.
+// Exchanged records a request to another node and its response; near means the same failure domain.
 func (m *Meter) Exchanged(e peer.Exchange, near bool) {
-	where := strconv.FormatBool(near)
-	m.messages.WithLabelValues(e.Method, where).Inc()
-	m.bytes.WithLabelValues(e.Method, where).Add(float64(e.Sent + e.Got))
+	nearLabel := strconv.FormatBool(near)
+	m.messages.WithLabelValues(e.Method, nearLabel).Inc()
+	m.bytes.WithLabelValues(e.Method, nearLabel).Add(float64(e.Sent + e.Got))
 }
 
-// Called counts a call to the store.
+// Called records a call to the store.
 func (m *Meter) Called(call string, took time.Duration, err error) {
-	m.store.WithLabelValues(call, outcome(err)).Observe(took.Seconds())
+	m.storeCalls.WithLabelValues(call, outcomeLabel(err)).Observe(took.Seconds())
 }
 
-// Restored counts that the store came back from an older copy.
-func (m *Meter) Restored() { m.epochs.Inc() }
+// Restored counts a store restored from an older copy.
+func (m *Meter) Restored() { m.epochChanges.Inc() }
 
-// outcome names an error by its ID: there are few of them.
-func outcome(err error) string {
+// outcomeLabel returns the ID of an error. IDs come from a fixed set, so the number of label values is
+// bounded.
+func outcomeLabel(err error) string {
 	var known *errs.Error
 
 	switch {
@@ -146,12 +147,13 @@
 	return "other"
 }
 
-// Repeated counts a call that might be sent to another backend server.
+// Repeated counts a call that could be retried on another backend server, and whether the retry
+// budget allowed the retry.
 func (m *Meter) Repeated(service string, allowed bool) {
-	m.repeats.WithLabelValues(service, strconv.FormatBool(allowed)).Inc()
+	m.retries.WithLabelValues(service, strconv.FormatBool(allowed)).Inc()
 }
 
-// Handler serves the metrics as text.
+// Handler serves the metrics in the Prometheus text format.
 func (m *Meter) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
