--- a/internal/sidecar/meter/meter.go
+++ b/internal/sidecar/meter/meter.go
@@ -124,8 +124,8 @@
 	m.bytes.WithLabelValues(e.Method, nearLabel).Add(float64(e.Sent + e.Got))
 }
 
-// Called records a call to the store.
-func (m *Meter) Called(call string, took time.Duration, err error) {
+// StoreCalled records a call to the store.
+func (m *Meter) StoreCalled(call string, took time.Duration, err error) {
 	m.storeCalls.WithLabelValues(call, outcomeLabel(err)).Observe(took.Seconds())
 }
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -106,7 +106,7 @@
 	}
 	n.settings.Store(&c)
 	n.recorder = timeline.New(timeline.Node(c.Node), timeline.Logger(logger), timeline.Size(timelineSize))
-	n.store = platform.NewStore(c.StoreAddress, n.epoch, m.Called, n.recordSkippedEntry)
+	n.store = platform.NewStore(c.StoreAddress, n.epoch, m.StoreCalled, n.recordSkippedEntry)
 	n.initMembership()
 	n.backend()
 	n.initIngress()
