--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -36,7 +36,8 @@
 	}, n.recorder)
 	n.bootstrap = bootstrap.New(n.store, n.table, c.FailureDomain)
 	n.gossip = membership.NewGossip(n.table, n.client,
-		membership.Seeds(c.Peers...), membership.FindPeers(n.bootstrap.FindPeers), membership.Version(n.holder.Number), membership.ObserveVersion(n.spreader.ObserveVersion))
+		membership.Seeds(c.Peers...), membership.FindPeers(n.bootstrap.FindPeers), membership.Version(n.holder.Number),
+		membership.ObserveVersion(n.spreader.ObserveVersion))
 }
 
 type nothing struct{}
