--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -36,7 +36,8 @@
 	}, n.recorder)
 	n.bootstrap = bootstrap.New(n.store, n.table, c.FailureDomain)
 	n.gossip = membership.NewGossip(n.table, n.client,
-		membership.Seeds(c.Peers...), membership.Seek(n.bootstrap.Seek), membership.Version(n.holder.Number), membership.Hear(n.propagator.Hear))
+		membership.Seeds(c.Peers...), membership.FindPeers(n.bootstrap.FindPeers), membership.Version(n.holder.Number),
+		membership.ObserveVersion(n.propagator.ObserveVersion))
 }
 
 type empty struct{}
--- a/internal/propagation/cluster_test.go
+++ b/internal/propagation/cluster_test.go
@@ -200,8 +200,8 @@
 		c.mu.Unlock()
 
 		if other != nil && !n.stalled.Load() && !other.stalled.Load() {
-			other.propagator.Hear(ctx, n.id, n.holder.Number())
-			n.propagator.Hear(ctx, other.id, other.holder.Number())
+			other.propagator.ObserveVersion(ctx, n.id, n.holder.Number())
+			n.propagator.ObserveVersion(ctx, other.id, other.holder.Number())
 		}
 	}
 }
--- a/internal/propagation/pull.go
+++ b/internal/propagation/pull.go
@@ -60,9 +60,9 @@
 	return Number{Number: s.holder.Number()}, nil
 }
 
-// Hear starts a pull in the background if a peer has a newer version. It does not
+// ObserveVersion starts a pull in the background if a peer has a newer version. It does not
 // block.
-func (s *Propagator) Hear(ctx context.Context, address string, number uint64) {
+func (s *Propagator) ObserveVersion(ctx context.Context, address string, number uint64) {
 	if number <= s.holder.Number() || s.options.Strategy == StrategyPoll || s.isRejected(number) {
 		return
 	}
