--- a/pkg/upstream/announcement.go
+++ b/pkg/upstream/announcement.go
@@ -1,17 +1,17 @@
 // Package upstream announces a backend server to the node on its host.
 //
-// There is no list of backend servers: one that announces itself, and renews, is
-// sent calls; one that stops renewing is not.
+// Backend servers are not configured statically. A backend server receives calls
+// while it renews its announcement, and none after the announcement expires.
 //
 // # Usage
 //
 //	a := upstream.New("127.0.0.1:8001", upstream.Announcement{
 //		Service: "browse", Address: "127.0.0.1:9000", Slots: 10, Connections: 100,
 //	})
-//	go a.Run(ctx)              // announces Warming, and renews
-//	a.Set(upstream.Ready)      // calls come from now on
+//	go a.Run(ctx)              // announces Warming and renews it
+//	a.Set(upstream.Ready)      // the node may send calls
 //	...
-//	a.Leave(ctx, server.InFlight) // Draining, until nothing is in flight, then Gone
+//	a.Leave(ctx, server.InFlight) // Draining until no call is in flight, then Gone
 //
 // docs/BACKENDS.md describes the interface for servers in other languages.
 package upstream
@@ -25,24 +25,24 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// ErrAnnouncement is returned for an announcement that does not check.
+// ErrAnnouncement is returned for an invalid announcement.
 var ErrAnnouncement = errs.New("upstream.announcement", http.StatusBadRequest, "announcement not accepted")
 
-// MaxTTL bounds how long an announcement holds without renewal.
+// MaxTTL is the longest time to live of an announcement.
 const MaxTTL = time.Minute
 
-// State is what a backend server says of itself.
+// State is the lifecycle state that a backend server announces.
 type State string
 
 // The states of a backend server.
 const (
-	// Warming runs and takes no calls yet.
+	// Warming means running, but not yet accepting calls.
 	Warming State = "Warming"
-	// Ready takes calls.
+	// Ready means accepting calls.
 	Ready State = "Ready"
-	// Draining finishes what it has and takes nothing new.
+	// Draining means finishing calls in flight and accepting no new ones.
 	Draining State = "Draining"
-	// Gone has nothing in flight and ends.
+	// Gone means that no call is in flight and the process is terminating.
 	Gone State = "Gone"
 )
 
@@ -51,33 +51,34 @@
 	return s == Warming || s == Ready || s == Draining || s == Gone
 }
 
-// Announcement is what a backend server says of itself, and renews.
+// Announcement describes a backend server; it expires unless renewed within TTL.
 type Announcement struct {
-	// Service is the name that routes refer to.
+	// Service is the service name that routes refer to.
 	Service string `json:"Service"`
-	// Address is where the backend server takes HTTP, as IP number and port.
+	// Address is the IP address and port on which the backend server accepts HTTP.
 	Address string `json:"Address"`
-	// Slots is how many calls it runs at the same time.
+	// Slots is the maximum number of concurrent calls.
 	Slots int `json:"Slots"`
-	// Connections is how many connections it takes.
+	// Connections is the maximum number of open connections.
 	Connections int   `json:"Connections"`
 	State       State `json:"State"`
-	// TTL is how long the announcement holds without renewal, at most a minute.
+	// TTL is the time until the announcement expires unless renewed, at most MaxTTL.
 	TTL settings.Duration `json:"TTL"`
-	// Start names the process: another one after each start. It tells calls that were
-	// cut off by a crash from calls whose answer was lost, also if the next process
-	// listens at the address before the node looked. It may be left out.
+	// Start identifies the process instance and changes with each process start. It
+	// distinguishes calls aborted by a crash from calls whose answer was lost, even if
+	// the next process listens on the address before the node detects the crash.
+	// Optional.
 	Start string `json:"Start,omitempty"`
 }
 
-// WithState returns the announcement with another state.
+// WithState returns a copy of the announcement with state s.
 func (a Announcement) WithState(s State) Announcement {
 	a.State = s
 
 	return a
 }
 
-// Check reports whether the announcement can be used.
+// Check returns ErrAnnouncement if a field is missing or out of range.
 func (a Announcement) Check() error {
 	if a.Service == "" {
 		return ErrAnnouncement.With("Service is missing")
--- a/pkg/upstream/announcer.go
+++ b/pkg/upstream/announcer.go
@@ -15,22 +15,22 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// ErrNode is returned if the node does not take an announcement.
+// ErrNode is returned if the node rejects an announcement or is unreachable.
 var ErrNode = errs.New("upstream.node", http.StatusBadGateway, "the node did not take the announcement")
 
-// Defaults of an announcer.
+// Timing of announcements.
 const (
-	// DefaultTTL lets three renewals be lost before the backend server is taken
-	// for gone.
+	// DefaultTTL, with four renewals per TTL, tolerates three lost renewals before
+	// the announcement expires.
 	DefaultTTL = 2 * time.Second
-	// renewals is how often an announcement is renewed in its TTL.
-	renewals = 4
-	// notice is how long a leaving backend server goes on serving, so that what
-	// was under way to it when it said so is run.
-	notice = 500 * time.Millisecond
+	// renewalsPerTTL is the number of renewals in one TTL.
+	renewalsPerTTL = 4
+	// drainNotice is how long a draining backend server keeps serving before it
+	// checks for calls in flight, so that calls already sent to it are run.
+	drainNotice = 500 * time.Millisecond
 )
 
-// Announcer announces one backend server and renews.
+// Announcer announces one backend server and renews the announcement.
 type Announcer struct {
 	url     string
 	client  *http.Client
@@ -40,9 +40,9 @@
 	current Announcement
 }
 
-// New returns an announcer that talks to the control address of the node on this
-// host. It begins as Warming, with a start of its own, and with the default TTL if the
-// announcement has none.
+// New returns an announcer that uses the control address of the node on this host.
+// The initial state is Warming. An empty Start is set to a new ULID, a zero TTL to
+// DefaultTTL.
 func New(node string, a Announcement) *Announcer {
 	if a.TTL == 0 {
 		a.TTL = settings.Duration(DefaultTTL)
@@ -61,7 +61,7 @@
 	}
 }
 
-// Set changes the state; Run tells the node at once.
+// Set changes the state; Run announces it immediately.
 func (a *Announcer) Set(s State) {
 	a.mu.Lock()
 	a.current.State = s
@@ -73,7 +73,7 @@
 	}
 }
 
-// Current returns what is announced.
+// Current returns the current announcement.
 func (a *Announcer) Current() Announcement {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -81,8 +81,8 @@
 	return a.current
 }
 
-// Run announces and renews until ctx ends. A node that can't be reached is asked
-// again at the next renewal: it may be starting anew.
+// Run announces and renews until ctx is done. Errors are ignored: a node that is
+// unreachable, for example during its restart, gets the next renewal.
 func (a *Announcer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		_ = a.Announce(ctx)
@@ -90,22 +90,23 @@
 		select {
 		case <-ctx.Done():
 		case <-a.changed:
-		case <-time.After(time.Duration(a.Current().TTL) / renewals):
+		case <-time.After(time.Duration(a.Current().TTL) / renewalsPerTTL):
 		}
 	}
 }
 
-// Leave is the planned stop: it announces Draining, waits until nothing is in
-// flight or ctx ends, and announces Gone. Run must go on meanwhile.
+// Leave drains the backend server: it announces Draining, waits until no call is in
+// flight or ctx is done, and announces Gone. Run must keep renewing until Leave
+// returns.
 func (a *Announcer) Leave(ctx context.Context, inFlight func() int) error {
-	const pause = 10 * time.Millisecond
+	const pollInterval = 10 * time.Millisecond
 
 	a.Set(Draining)
 	err := a.Announce(ctx)
-	wait(ctx, notice)
+	sleep(ctx, drainNotice)
 
 	for inFlight() > 0 && ctx.Err() == nil {
-		wait(ctx, pause)
+		sleep(ctx, pollInterval)
 	}
 
 	a.Set(Gone)
@@ -117,14 +118,14 @@
 	return a.Announce(context.WithoutCancel(ctx))
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// Announce tells the node once.
+// Announce sends the current announcement to the node once.
 func (a *Announcer) Announce(ctx context.Context) error {
 	data, err := json.Marshal(a.Current())
 	if err != nil {
@@ -145,9 +146,9 @@
 	defer func() { _ = resp.Body.Close() }()
 
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		const most = 1 << 10
+		const maxErrorText = 1 << 10
 
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, most))
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
 
 		return ErrNode.With("status %d: %s", resp.StatusCode, text)
 	}
--- a/pkg/upstream/announcer_test.go
+++ b/pkg/upstream/announcer_test.go
@@ -14,7 +14,7 @@
 	"github.com/pollencart/pollencart/pkg/upstream"
 )
 
-// node takes announcements and remembers the states that differ from the last.
+// node accepts valid announcements and records each state change.
 type node struct {
 	mu     sync.Mutex
 	states []upstream.State
@@ -38,7 +38,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (n *node) last() upstream.State {
+func (n *node) lastState() upstream.State {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -49,17 +49,17 @@
 	return n.states[len(n.states)-1]
 }
 
-func (n *node) until(t *testing.T, s upstream.State) {
+func (n *node) waitForState(t *testing.T, s upstream.State) {
 	t.Helper()
 
-	for start := time.Now(); n.last() != s; time.Sleep(time.Millisecond) {
-		assert.Assert(t, time.Since(start) < 20*time.Second, "never %s", s)
+	for start := time.Now(); n.lastState() != s; time.Sleep(time.Millisecond) {
+		assert.Assert(t, time.Since(start) < 20*time.Second, "state %s not announced in time", s)
 	}
 }
 
-// A backend server stops while it runs a call. Had it said Gone at once, its host
-// could be taken away under the call.
-func TestLeaveWaitsForWhatIsInFlight(t *testing.T) {
+// A backend server stops while a call is in flight. If it announced Gone at once,
+// its host could be removed before the call finishes.
+func TestLeaveAnnouncesGoneOnlyWhenNothingIsInFlight(t *testing.T) {
 	n := &node{}
 	s := httptest.NewServer(n)
 
@@ -74,9 +74,9 @@
 
 	go a.Run(ctx)
 
-	n.until(t, upstream.Warming)
+	n.waitForState(t, upstream.Warming)
 	a.Set(upstream.Ready)
-	n.until(t, upstream.Ready)
+	n.waitForState(t, upstream.Ready)
 
 	inFlight := make(chan int, 4)
 	for _, left := range []int{2, 1, 1, 0} {
@@ -85,14 +85,14 @@
 
 	assert.NilError(t, a.Leave(ctx, func() int {
 		left := <-inFlight
-		assert.Assert(t, n.last() == upstream.Draining)
+		assert.Assert(t, n.lastState() == upstream.Draining)
 
 		return left
 	}))
 	assert.DeepEqual(t, n.states, []upstream.State{upstream.Warming, upstream.Ready, upstream.Draining, upstream.Gone})
 }
 
-func TestAnnouncementThatTheNodeRefuses(t *testing.T) {
+func TestAnnounceReturnsErrNodeWhenRejectedOrUnreachable(t *testing.T) {
 	s := httptest.NewServer(&node{})
 	defer s.Close()
 
@@ -113,7 +113,7 @@
 
 	go a.Run(ctx)
 
-	// Serve HTTP on 127.0.0.1:9000, load what must be loaded, then:
+	// Serve HTTP on 127.0.0.1:9000, finish initialisation, then:
 	a.Set(upstream.Ready)
 
 	// On SIGTERM:
