--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -1,7 +1,7 @@
-// Package caller sends requests to the nodes of a mesh, as a caller should: it
-// makes idempotency keys, repeats with the same key until there is an answer,
-// takes a new key once the old one is known not to have run, comes back when it
-// is told to, and goes to another node when one does not answer.
+// Package caller is the client for sending requests to the nodes of a mesh. It
+// generates idempotency keys, retries with the same key until there is an answer,
+// generates a new key once the old one is known not to have run, honours the retry
+// delay of a refusal, and fails over to another node when one does not answer.
 //
 // # Usage
 //
@@ -11,11 +11,11 @@
 //
 //	answer, err := c.Do(ctx, caller.Request{Method: "POST", Path: "/uploads/1", Body: data, Once: true})
 //	switch {
-//	case errors.Is(err, caller.ErrNotRun):  // it was not run and never will be; safe to start anew
-//	case errors.Is(err, caller.ErrUnknown): // it may have run; look before you start anew
+//	case errors.Is(err, caller.ErrNotRun):  // not run and never will be; safe to send anew
+//	case errors.Is(err, caller.ErrUnknown): // may have run; check before sending anew
 //	}
 //
-// docs/IDEMPOTENCY.md says what callers in other languages must do.
+// docs/IDEMPOTENCY.md specifies the protocol for callers in other languages.
 package caller
 
 import (
@@ -31,25 +31,25 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Errors of a request, by what is known of it.
+// Errors of a request, by what is known about its execution.
 var (
-	// ErrNotRun means that no backend server ran the request and none ever will.
+	// ErrNotRun means that no backend server has run the request or will run it.
 	ErrNotRun = errs.New("caller.not_run", http.StatusServiceUnavailable, "the request was not run")
-	// ErrUnknown means that it may have run.
+	// ErrUnknown means that the request may have run.
 	ErrUnknown = errs.New("caller.unknown", http.StatusGatewayTimeout, "the request may have run")
-	// ErrRan means that it ran, and that its answer is lost.
+	// ErrRan means that the request ran and its answer is lost.
 	ErrRan = errs.New("caller.ran", http.StatusConflict, "the request ran; its answer is lost")
-	// ErrNodes means that there is no node to send to.
+	// ErrNodes means that no nodes are configured.
 	ErrNodes = errs.New("caller.nodes", http.StatusBadRequest, "no nodes given")
 )
 
-// Request is what is sent.
+// Request is a request to a backend server.
 type Request struct {
 	Method string
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Once is set for a request that must not run twice.
+	// Once requests at-most-once execution through an idempotency key.
 	Once bool
 }
 
@@ -60,34 +60,35 @@
 	Body   []byte
 	// Key is the idempotency key under which the request ran.
 	Key string
-	// Repeat says that an earlier try had run, whose answer this is.
+	// Repeat is set if the answer is the stored one of an earlier run of the key.
 	Repeat bool
 }
 
-// Caller sends requests.
+// Caller is a client of a set of nodes. It is safe for concurrent use.
 type Caller struct {
 	options Options
 
-	mu    sync.Mutex
-	next  int
-	homes map[string]string // names of homes, by node
+	mu          sync.Mutex
+	next        int
+	keyPrefixes map[string]string // key prefix of the owner node, by node address
 }
 
-// New returns a caller.
+// New returns a caller that starts at a random node.
 func New(opts ...Option) *Caller {
 	o := newOptions(opts...)
 
-	return &Caller{options: o, next: rand.IntN(max(len(o.Nodes), 1)), homes: map[string]string{}}
+	return &Caller{options: o, next: rand.IntN(max(len(o.Nodes), 1)), keyPrefixes: map[string]string{}}
 }
 
-// Do sends the request until it has an answer, a final refusal, or ctx ends. The
-// error is one of this package's sentinels and wraps the last Refusal.
+// Do sends the request until there is an answer or a final refusal, Options.Tries is
+// reached, or ctx leaves no time for a retry. The error is one of this package's
+// sentinels; except for ErrNodes it wraps the last Refusal.
 func (c *Caller) Do(ctx context.Context, r Request) (Answer, error) {
 	if len(c.options.Nodes) == 0 {
 		return Answer{}, ErrNodes
 	}
 
-	t := &try{caller: c, request: r}
+	t := &requestState{caller: c, request: r}
 
 	for n := range c.options.Tries {
 		answer, refusal := t.send(ctx, c.node())
@@ -95,117 +96,117 @@
 			return answer, nil
 		}
 
-		t.note(refusal)
+		t.record(refusal)
 
-		if refusal.final() || !pause(ctx, refusal.wait(n)) {
+		if refusal.final() || !sleep(ctx, refusal.retryDelay(n)) {
 			break
 		}
 
 		c.Leave()
 	}
 
-	return Answer{}, t.fault()
+	return Answer{}, t.err()
 }
 
-// try is one request on its way through nodes and keys.
-type try struct {
+// requestState is the state of one request across retries, nodes and keys.
+type requestState struct {
 	caller  *Caller
 	request Request
 	key     string
-	// unsure is set while an attempt without an answer may have run.
-	unsure bool
-	last   *Refusal
+	// mayHaveRun is set while an earlier send of the request may have run.
+	mayHaveRun bool
+	last       *Refusal
 }
 
-func (t *try) send(ctx context.Context, node string) (Answer, *Refusal) {
+func (t *requestState) send(ctx context.Context, node string) (Answer, *Refusal) {
 	if t.request.Once && t.key == "" {
-		home, refusal := t.caller.home(ctx, node)
+		keyPrefix, refusal := t.caller.keyPrefix(ctx, node)
 		if refusal != nil {
 			return Answer{}, refusal
 		}
 
-		t.key = home + "." + ulid.Make().String()
+		t.key = keyPrefix + "." + ulid.Make().String()
 	}
 
 	return t.caller.exchange(ctx, node, t.request, t.key)
 }
 
-// note keeps what is known. A key that did not run is done with: the next try
-// takes a new one.
-func (t *try) note(r *Refusal) {
+// record stores the refusal and updates what is known about the key. A key that did
+// not run is dropped, so that the next send generates a new one.
+func (t *requestState) record(r *Refusal) {
 	t.last = r
 
-	// A key that never left can be given up: its home is likely gone.
-	if r.unsent && !t.unsure {
+	// A key that was never sent can be dropped; its owner node is probably down.
+	if r.notSent && !t.mayHaveRun {
 		t.key = ""
 
 		return
 	}
 
 	if r.Ran != NotRun {
-		t.unsure = true
+		t.mayHaveRun = true
 
 		return
 	}
 
-	// Only the home of a key says not-run of it, and means every try under it. Of
-	// a request without a key it holds for this try alone.
+	// Only the owner node of a key reports not-run for it, and the report covers every
+	// send under that key. Without a key it covers this send alone.
 	if t.request.Once {
-		t.unsure = false
+		t.mayHaveRun = false
 		t.key = ""
 	}
 }
 
-func (t *try) fault() error {
+func (t *requestState) err() error {
 	switch {
 	case t.last.Ran == Ran:
 		return ErrRan.Wrap(t.last)
-	case t.unsure:
+	case t.mayHaveRun:
 		return ErrUnknown.Wrap(t.last)
 	}
 
 	return ErrNotRun.Wrap(t.last)
 }
 
-// home returns the name of a node's home of keys, from any of its answers.
-func (c *Caller) home(ctx context.Context, node string) (string, *Refusal) {
-	if home := c.known(node); home != "" {
-		return home, nil
+// keyPrefix returns the key prefix of a node, which any answer of the node carries.
+func (c *Caller) keyPrefix(ctx context.Context, node string) (string, *Refusal) {
+	if keyPrefix := c.cachedKeyPrefix(node); keyPrefix != "" {
+		return keyPrefix, nil
 	}
 
 	_, refusal := c.exchange(ctx, node, Request{Method: http.MethodOptions, Path: "/"}, "")
-	if home := c.known(node); home != "" {
-		return home, nil
+	if keyPrefix := c.cachedKeyPrefix(node); keyPrefix != "" {
+		return keyPrefix, nil
 	}
 
 	if refusal == nil {
 		refusal = &Refusal{ID: "caller.no_home", Ran: NotRun, Detail: "the node names no home of keys"}
 	}
 
-	refusal.Ran = NotRun // nothing of the request itself was sent
+	refusal.Ran = NotRun // the request itself was not sent
 
 	return "", refusal
 }
 
-func (c *Caller) known(node string) string {
+func (c *Caller) cachedKeyPrefix(node string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	return c.homes[node]
+	return c.keyPrefixes[node]
 }
 
-func (c *Caller) learn(node, home string) {
-	if home == "" {
+func (c *Caller) cacheKeyPrefix(node, keyPrefix string) {
+	if keyPrefix == "" {
 		return
 	}
 
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	c.homes[node] = home
+	c.keyPrefixes[node] = keyPrefix
 }
 
-// node returns the node in use.
+// node returns the address of the current node.
 func (c *Caller) node() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,7 +214,7 @@
 	return c.options.Nodes[c.next%len(c.options.Nodes)]
 }
 
-// Leave goes on to the next node, for callers that want to spread their requests.
+// Leave switches to the next node. Call it to distribute requests over the nodes.
 func (c *Caller) Leave() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,9 +222,9 @@
 	c.next++
 }
 
-// pause waits until it is time to come back, and reports whether there is time
-// for that.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false without waiting if the deadline of ctx comes
+// first, and false if ctx is cancelled meanwhile.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= d {
 		return false
 	}
@@ -236,7 +237,7 @@
 	}
 }
 
-// IsRefusal returns the last refusal of a request.
+// IsRefusal returns the Refusal that err wraps, if any.
 func IsRefusal(err error) (*Refusal, bool) {
 	var r *Refusal
 
--- a/pkg/caller/caller_test.go
+++ b/pkg/caller/caller_test.go
@@ -17,7 +17,7 @@
 	"github.com/pollencart/pollencart/pkg/caller"
 )
 
-// node is a small fake: it answers with what the test gives it, in order.
+// node is a fake node that sends the given replies in order and repeats the last.
 type node struct {
 	*httptest.Server
 
@@ -26,12 +26,12 @@
 	replies []func(w http.ResponseWriter)
 }
 
-func startNode(t *testing.T, home string, replies ...func(http.ResponseWriter)) *node {
+func startNode(t *testing.T, keyPrefix string, replies ...func(http.ResponseWriter)) *node {
 	t.Helper()
 
 	n := &node{replies: replies}
 	n.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(caller.HeaderHome, home)
+		w.Header().Set(caller.HeaderHome, keyPrefix)
 
 		if r.Method == http.MethodOptions {
 			refuse("entry.no_route", "not-run", 0)(w)
@@ -55,7 +55,7 @@
 	return n.replies[min(len(n.keys), len(n.replies))-1]
 }
 
-func (n *node) sent() []string {
+func (n *node) receivedKeys() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
@@ -70,8 +70,8 @@
 	_, _ = w.Write([]byte("receipt"))
 }
 
-// vanish ends the connection without an answer.
-func vanish(http.ResponseWriter) { panic(http.ErrAbortHandler) }
+// dropConnection closes the connection without an answer.
+func dropConnection(http.ResponseWriter) { panic(http.ErrAbortHandler) }
 
 func refuse(id, ran string, after int64) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
@@ -90,7 +90,7 @@
 		addresses = append(addresses, n.address())
 	}
 
-	// One connection for each request: the transport then repeats nothing itself.
+	// Without connection reuse the transport never retries a request itself.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	c := caller.New(caller.Nodes(addresses...), caller.Client(client), caller.Tries(5))
 
@@ -100,54 +100,54 @@
 	return c.Do(ctx, caller.Request{Method: http.MethodPost, Path: "/uploads/1", Body: []byte("gift aid"), Once: true})
 }
 
-// The answer to an upload is lost. Sent again with a new key it would be booked
-// twice.
-func TestALostAnswerIsAskedForWithTheSameKey(t *testing.T) {
-	n := startNode(t, "pc1.a.life.1", vanish, answer)
+// The answer to an upload is lost. A retry with a new key would book it twice.
+func TestLostAnswerIsRetriedWithSameKey(t *testing.T) {
+	n := startNode(t, "pc1.a.life.1", dropConnection, answer)
 
 	a, err := do(t, n)
 	assert.NilError(t, err)
 	assert.Equal(t, string(a.Body), "receipt")
-	assert.Equal(t, len(n.sent()), 2)
-	assert.Equal(t, n.sent()[0], n.sent()[1])
-	assert.Assert(t, strings.HasPrefix(n.sent()[0], "pc1.a.life.1."))
+	assert.Equal(t, len(n.receivedKeys()), 2)
+	assert.Equal(t, n.receivedKeys()[0], n.receivedKeys()[1])
+	assert.Assert(t, strings.HasPrefix(n.receivedKeys()[0], "pc1.a.life.1."))
 }
 
-// A key that did not run is closed at its home; sent again it is refused for
-// ever, and the parent would never get the seat.
-func TestANewKeyIsTakenOnceTheOldOneDidNotRun(t *testing.T) {
+// A key that did not run is closed at its owner node, which rejects every retry with
+// it. Without a new key the request would never run.
+func TestRejectedRequestIsRetriedWithNewKey(t *testing.T) {
 	n := startNode(t, "pc1.a.life.1", refuse("admission.full", "not-run", 1), answer)
 
 	_, err := do(t, n)
 	assert.NilError(t, err)
-	assert.Equal(t, len(n.sent()), 2)
-	assert.Assert(t, n.sent()[0] != n.sent()[1])
+	assert.Equal(t, len(n.receivedKeys()), 2)
+	assert.Assert(t, n.receivedKeys()[0] != n.receivedKeys()[1])
 }
 
-// The node in use does not answer any more; the next one knows the key's home.
-func TestAnotherNodeIsTakenWithTheSameKey(t *testing.T) {
-	a := startNode(t, "pc1.a.life.1", vanish)
-	b := startNode(t, "pc1.b.life.1", vanish, answer)
+// The current node stops answering. The next node can forward the same key to its
+// owner node.
+func TestFailoverKeepsKey(t *testing.T) {
+	a := startNode(t, "pc1.a.life.1", dropConnection)
+	b := startNode(t, "pc1.b.life.1", dropConnection, answer)
 
 	_, err := do(t, a, b)
 	assert.NilError(t, err)
-	assert.Assert(t, len(a.sent()) > 0 && len(b.sent()) > 0)
+	assert.Assert(t, len(a.receivedKeys()) > 0 && len(b.receivedKeys()) > 0)
 
-	for _, key := range append(a.sent(), b.sent()...) {
-		assert.Equal(t, key, a.sent()[0])
+	for _, key := range append(a.receivedKeys(), b.receivedKeys()...) {
+		assert.Equal(t, key, a.receivedKeys()[0])
 	}
 }
 
-// The node whose name is in the key was stopped before the request got to it. The
-// key never left, so that a new one of another node is safe; the old one would
-// be unknown for ever, since its home is gone.
-func TestAKeyThatNeverLeftIsGivenUp(t *testing.T) {
+// The owner node of the key terminates before the request reaches any node. The key
+// was never sent, so a new key of another node is safe. The outcome of the old key
+// would stay unknown, since its owner node is no longer running.
+func TestKeyThatWasNeverSentIsReplaced(t *testing.T) {
 	a := startNode(t, "pc1.a.life.1", answer)
 	b := startNode(t, "pc1.b.life.1", answer)
 	c := caller.New(caller.Nodes(a.address(), b.address()))
 	upload := caller.Request{Method: http.MethodPost, Path: "/uploads/1", Once: true}
 
-	for range 2 { // both homes are known
+	for range 2 { // the key prefixes of both nodes are cached
 		_, err := c.Do(t.Context(), upload)
 		assert.NilError(t, err)
 		c.Leave()
@@ -161,30 +161,30 @@
 		c.Leave()
 	}
 
-	for _, key := range b.sent() {
+	for _, key := range b.receivedKeys() {
 		assert.Assert(t, strings.HasPrefix(key, "pc1.b.life.1."), key)
 	}
 }
 
-func TestTheErrorSaysWhatIsKnown(t *testing.T) {
+func TestErrorReportsKnownOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		reply func(http.ResponseWriter)
 		want  error
 		tries int
 	}{
-		"home gone":       {refuse("once.home_gone", "unknown", 0), caller.ErrUnknown, 1},
-		"ambiguous":       {refuse("once.ambiguous", "unknown", 1000), caller.ErrUnknown, 1},
-		"answer not kept": {refuse("once.answer_not_kept", "ran", 0), caller.ErrRan, 1},
-		"bad request":     {refuse("entry.body", "not-run", 0), caller.ErrNotRun, 1},
-		"never an answer": {vanish, caller.ErrUnknown, 5},
-		"always full":     {refuse("admission.full", "not-run", 1), caller.ErrNotRun, 5},
+		"owner node terminated": {refuse("once.home_gone", "unknown", 0), caller.ErrUnknown, 1},
+		"ambiguous":             {refuse("once.ambiguous", "unknown", 1000), caller.ErrUnknown, 1},
+		"answer not kept":       {refuse("once.answer_not_kept", "ran", 0), caller.ErrRan, 1},
+		"bad request":           {refuse("entry.body", "not-run", 0), caller.ErrNotRun, 1},
+		"no answer":             {dropConnection, caller.ErrUnknown, 5},
+		"queue always full":     {refuse("admission.full", "not-run", 1), caller.ErrNotRun, 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := startNode(t, "pc1.a.life.1", c.reply)
 
 			_, err := do(t, n)
 			assert.ErrorIs(t, err, c.want)
-			assert.Equal(t, len(n.sent()), c.tries)
+			assert.Equal(t, len(n.receivedKeys()), c.tries)
 
 			r, ok := caller.IsRefusal(err)
 			assert.Assert(t, ok && r.ID != "")
@@ -192,13 +192,13 @@
 	}
 }
 
-// A node says to come back after an hour. The caller has ten seconds; holding it
-// until then would leave a person in silence.
-func TestAnAnswerComesAtOnceWhenComingBackIsTooLate(t *testing.T) {
+// A node requests a retry delay of one hour, and the deadline is in ten seconds. Do
+// must fail at once instead of waiting for the deadline.
+func TestDoFailsAtOnceWhenRetryDelayExceedsDeadline(t *testing.T) {
 	n := startNode(t, "pc1.a.life.1", refuse("admission.full", "not-run", time.Hour.Milliseconds()))
 	_, err := do(t, n)
 	assert.ErrorIs(t, err, caller.ErrNotRun)
-	assert.Equal(t, len(n.sent()), 1)
+	assert.Equal(t, len(n.receivedKeys()), 1)
 
 	_, err = caller.New().Do(t.Context(), caller.Request{})
 	assert.Assert(t, errors.Is(err, caller.ErrNodes))
--- a/pkg/caller/example_test.go
+++ b/pkg/caller/example_test.go
@@ -12,8 +12,8 @@
 	"github.com/pollencart/pollencart/pkg/caller"
 )
 
-// An upload that must be booked once. The first try is turned away because the
-// queue is full; the second one, with a new key, is answered.
+// An upload that must be booked once. The node rejects the first request because its
+// queue is full; the retry with a new key is answered.
 func Example() {
 	tries := 0
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -45,7 +45,7 @@
 	case errors.Is(err, caller.ErrNotRun):
 		fmt.Println("not booked, try again")
 	case errors.Is(err, caller.ErrUnknown):
-		fmt.Println("look whether it was booked before trying again")
+		fmt.Println("check whether it was booked before trying again")
 	}
 	// Output: 200 receipt
 }
--- a/pkg/caller/exchange.go
+++ b/pkg/caller/exchange.go
@@ -23,7 +23,7 @@
 	HeaderCaller   = "Pollencart-Caller"
 )
 
-// exchange sends the request to one node.
+// exchange sends the request to one node and waits at most Options.Patience.
 func (c *Caller) exchange(ctx context.Context, node string, r Request, key string) (Answer, *Refusal) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Patience)
 	defer cancel()
@@ -35,16 +35,16 @@
 
 	resp, err := c.options.Client.Do(req)
 	if err != nil {
-		return Answer{}, lost(node, err)
+		return Answer{}, noAnswerRefusal(node, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Answer{}, lost(node, err)
+		return Answer{}, noAnswerRefusal(node, err)
 	}
 
-	c.learn(node, resp.Header.Get(HeaderHome))
+	c.cacheKeyPrefix(node, resp.Header.Get(HeaderHome))
 
 	if resp.Header.Get(HeaderUpstream) != "" {
 		return Answer{
@@ -53,7 +53,7 @@
 		}, nil
 	}
 
-	return Answer{}, refusalOf(node, body)
+	return Answer{}, decodeRefusal(node, body)
 }
 
 func (c *Caller) newRequest(ctx context.Context, node string, r Request, key string) (*http.Request, error) {
@@ -81,23 +81,23 @@
 	return req, nil
 }
 
-func refusalOf(node string, body []byte) *Refusal {
+func decodeRefusal(node string, body []byte) *Refusal {
 	var r Refusal
 	if json.Unmarshal(body, &r) != nil || r.ID == "" {
-		return lost(node, errNotANode)
+		return noAnswerRefusal(node, errNotNodeReply)
 	}
 
 	return &r
 }
 
-// lost is the refusal of a node that did not answer. The request may have run:
-// only the home of its key can say that it did not.
-func lost(node string, err error) *Refusal {
+// noAnswerRefusal returns the refusal for a node that did not answer. The outcome is
+// unknown: only the owner node of the key can report that the request did not run.
+func noAnswerRefusal(node string, err error) *Refusal {
 	var op *net.OpError
 
-	unsent := errors.As(err, &op) && op.Op == "dial"
+	notSent := errors.As(err, &op) && op.Op == "dial"
 
-	return &Refusal{ID: "caller.no_answer", Detail: err.Error(), Node: node, Ran: Unknown, noAnswer: true, unsent: unsent}
+	return &Refusal{ID: "caller.no_answer", Detail: err.Error(), Node: node, Ran: Unknown, noAnswer: true, notSent: notSent}
 }
 
-var errNotANode = &Refusal{ID: "caller.not_a_node", Detail: "the answer is not one of a node", Ran: Unknown}
+var errNotNodeReply = &Refusal{ID: "caller.not_a_node", Detail: "the answer is not one of a node", Ran: Unknown}
--- a/pkg/caller/options.go
+++ b/pkg/caller/options.go
@@ -7,15 +7,15 @@
 
 // Defaults of the options.
 const (
-	// DefaultTries bounds how often a request is sent; the deadline of its context
-	// usually ends it before.
+	// DefaultTries is the maximum number of sends of a request. The deadline of its
+	// context usually comes first.
 	DefaultTries = 8
-	// DefaultPatience is how long one node is waited for: longer than calls take,
-	// and short enough to try another one before a person gives up.
+	// DefaultPatience is the timeout for one node: longer than calls take, and short
+	// enough to try another node before a user abandons the request.
 	DefaultPatience = 3 * time.Second
 )
 
-// Options of a caller.
+// Options configures a Caller.
 type Options struct {
 	Nodes    []string
 	Client   *http.Client
@@ -24,7 +24,7 @@
 	Name     string
 }
 
-// Option sets an option.
+// Option sets a field of Options.
 type Option func(*Options)
 
 func newOptions(opts ...Option) Options {
@@ -36,17 +36,17 @@
 	return o
 }
 
-// Nodes sets the caller addresses of nodes, in any order.
+// Nodes sets the addresses at which nodes accept requests of callers, in any order.
 func Nodes(addresses ...string) Option { return func(o *Options) { o.Nodes = addresses } }
 
-// Client sets the HTTP client.
+// Client sets the HTTP client; the default is http.DefaultClient.
 func Client(c *http.Client) Option { return func(o *Options) { o.Client = c } }
 
-// Tries bounds how often a request is sent.
+// Tries sets the maximum number of sends of a request.
 func Tries(n int) Option { return func(o *Options) { o.Tries = n } }
 
-// Patience bounds how long one node is waited for.
+// Patience sets the timeout for one node.
 func Patience(d time.Duration) Option { return func(o *Options) { o.Patience = d } }
 
-// Name sets who the caller is; nodes are fair between callers.
+// Name sets the caller name by which nodes share their capacity fairly.
 func Name(name string) Option { return func(o *Options) { o.Name = name } }
--- a/pkg/caller/refusal.go
+++ b/pkg/caller/refusal.go
@@ -8,16 +8,16 @@
 // Outcome says whether a request ran.
 type Outcome string
 
-// The outcomes, as they stand in Pollencart-Ran.
+// Values of the Pollencart-Ran header.
 const (
 	NotRun  Outcome = "not-run"
 	Ran     Outcome = "ran"
 	Unknown Outcome = "unknown"
 )
 
-// Refusal is a node's final answer to a request that it gave up, or the lack of
-// an answer.
-type Refusal struct { //nolint:errname // named as the documents call it
+// Refusal is the reply of a node that rejected or abandoned a request. It also
+// represents a missing answer.
+type Refusal struct { //nolint:errname // the term of the documentation
 	ID           string  `json:"ID"`
 	Code         int     `json:"Code"`
 	Detail       string  `json:"Detail"`
@@ -29,15 +29,15 @@
 	NotForwarded bool    `json:"NotForwarded"`
 
 	noAnswer bool
-	// unsent is set if there was no connection to the node.
-	unsent bool
+	// notSent is set if no connection to the node could be made.
+	notSent bool
 }
 
 // Error implements error.
 func (r *Refusal) Error() string { return r.ID + ": " + r.Detail + " (" + string(r.Ran) + ")" }
 
-// final reports whether repeating is of no use. A refusal that says when to come
-// back is not final, unless the mesh itself will never know more of the key.
+// final reports whether a retry is pointless. A refusal with RetryAfterMs is not
+// final, unless its ID means that the outcome of the key cannot change any more.
 func (r *Refusal) final() bool {
 	if r.noAnswer {
 		return false
@@ -52,14 +52,14 @@
 }
 
 const (
-	firstPause = 50 * time.Millisecond
-	mostPause  = 2 * time.Second
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// wait is how long to stay away: what the node says, or else longer each time,
-// with jitter so that callers do not come back all at once.
-func (r *Refusal) wait(n int) time.Duration {
-	backoff := min(mostPause, firstPause<<n)
+// retryDelay returns the delay before retry n: RetryAfterMs or half the exponential
+// backoff, whichever is longer, plus jitter so that callers do not retry in step.
+func (r *Refusal) retryDelay(n int) time.Duration {
+	backoff := min(maxBackoff, minBackoff<<n)
 
 	return max(time.Duration(r.RetryAfterMs)*time.Millisecond, backoff/2) + rand.N(backoff/2)
 }
