--- a/pkg/errs/errs.go
+++ b/pkg/errs/errs.go
@@ -1,8 +1,8 @@
-// Package errs holds the error type that every other package uses.
+// Package errs provides the error type of the project.
 //
-// An error carries a stable ID that names the fault, a Code in the range of
-// HTTP status codes, and a Detail for a person. Packages declare sentinels
-// with New and return them with more detail; callers test the sentinel:
+// An error carries a stable ID, an HTTP status code in Code and a human-readable
+// Detail. Packages declare sentinels with New and return copies with more detail;
+// callers compare with the sentinel:
 //
 //	var ErrConflict = errs.New("acceptance.conflict", 409, "the branch was changed by another edit")
 //
@@ -16,7 +16,7 @@
 	"net/http"
 )
 
-// Error is a fault with a stable identity.
+// Error is an error that errors.Is compares by ID.
 type Error struct {
 	ID     string `json:"ID" msgpack:"ID"`
 	Code   int    `json:"Code" msgpack:"Code"`
@@ -25,12 +25,12 @@
 	cause error
 }
 
-// New returns a sentinel.
+// New returns a sentinel error.
 func New(id string, code int, detail string) *Error {
 	return &Error{ID: id, Code: code, Detail: detail}
 }
 
-// With returns a copy that says more about this occurrence.
+// With returns a copy with the formatted text appended to Detail.
 func (e *Error) With(format string, args ...any) *Error {
 	c := *e
 	c.Detail = e.Detail + ": " + fmt.Sprintf(format, args...)
@@ -38,7 +38,7 @@
 	return &c
 }
 
-// Wrap returns a copy that keeps the cause.
+// Wrap returns a copy that wraps cause.
 func (e *Error) Wrap(cause error) *Error {
 	c := *e
 	c.cause = cause
@@ -55,17 +55,18 @@
 	return e.ID + ": " + e.Detail
 }
 
-// Is reports whether the target has the same identity.
+// Is reports whether target is an *Error with the same ID.
 func (e *Error) Is(target error) bool {
 	t, ok := target.(*Error)
 
 	return ok && t.ID == e.ID
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error, if any.
 func (e *Error) Unwrap() error { return e.cause }
 
-// From returns err as an *Error, wrapping foreign errors as internal ones.
+// From returns the *Error in the chain of err. Any other error becomes one with the
+// ID "internal" and the text of err as Detail.
 func From(err error) *Error {
 	if err == nil {
 		return nil
