--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -11,12 +11,12 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// ErrInvalid is returned for a tree that must not be accepted.
+// ErrInvalid is returned for a tree that fails Check.
 var ErrInvalid = errs.New("settings.invalid", http.StatusUnprocessableEntity, "the tree does not check")
 
-// Bounds of single values. A deadline above MaxDeadline would let a call hold a
-// slot for longer than a drain may last, and more attempts than MaxAttempts
-// multiply the load of a fault.
+// Limits of single values. A deadline above MaxDeadline would let a call hold a slot
+// for longer than a drain may last. More attempts than MaxAttempts would multiply the
+// load during an outage.
 const (
 	MaxDeadline  = 5 * time.Minute
 	MaxAttempts  = 5
@@ -24,19 +24,19 @@
 	MaxQueue     = 10_000
 )
 
-// Fault is one reason why a tree is refused.
+// Fault is one validation error of a tree.
 type Fault struct {
 	Path   string `json:"Path" msgpack:"Path"`
 	Reason string `json:"Reason" msgpack:"Reason"`
 }
 
-// String returns the fault on a line.
+// String returns the fault as one line of text.
 func (f Fault) String() string { return "/" + f.Path + ": " + f.Reason }
 
-// Check returns every fault of the tree, not only the first.
+// Check validates the tree and returns all faults.
 //
-// It works on the whole tree, since a branch that is right by itself can name a
-// service that another edit has removed.
+// It always covers the whole tree, since a branch that is valid by itself can refer
+// to a service that another edit has removed.
 func (t Tree) Check() []Fault {
 	c := checker{services: t.Services(), matches: map[Match]string{}, declared: map[string]string{}}
 	t.Walk(c.branch)
@@ -48,7 +48,7 @@
 	return c.faults
 }
 
-// CheckErr returns ErrInvalid with all faults, or nil.
+// CheckErr returns ErrInvalid with all faults of the tree, or nil if there are none.
 func (t Tree) CheckErr() error {
 	faults := t.Check()
 	if len(faults) == 0 {
--- a/pkg/settings/diff.go
+++ b/pkg/settings/diff.go
@@ -17,7 +17,7 @@
 	To    string `json:"To,omitempty"`
 }
 
-// String returns the change on a line.
+// String returns the change as one line of text.
 func (c Change) String() string {
 	switch {
 	case c.From == "":
@@ -29,8 +29,7 @@
 	}
 }
 
-// Diff returns the values that differ from one tree to another, in the order of
-// paths and fields.
+// Diff returns the values that differ between two trees, sorted by path and field.
 func Diff(from, to Tree) []Change {
 	a, b := flatMap{}, flatMap{}
 	from.Walk(a.add)
@@ -39,8 +38,8 @@
 	return a.changes(b)
 }
 
-// DiffRecords is Diff for some branches of two trees. A record that does not
-// decode counts as absent.
+// DiffRecords is like Diff for a subset of the branches of two trees. A record that
+// cannot be decoded counts as absent.
 func DiffRecords(from, to Records) []Change {
 	return flatRecords(from).changes(flatRecords(to))
 }
@@ -59,7 +58,7 @@
 
 type valueKey struct{ path, field string }
 
-// flatMap holds each value of a tree as text.
+// flatMap maps the path and field of each value of a tree to its JSON text.
 type flatMap map[valueKey]string
 
 func (f flatMap) add(path string, b Branch) {
--- a/pkg/settings/doc.go
+++ b/pkg/settings/doc.go
@@ -1,5 +1,5 @@
-// Package settings holds the tree that operators edit and the immutable
-// snapshot that nodes answer with.
+// Package settings defines the settings tree that operators edit and the immutable
+// snapshot that nodes route calls with.
 //
 // A tree has a root, branches for regions and services, and leaves for routes.
 // Each node of the tree overrides values or inherits them from its parent. A
@@ -13,6 +13,6 @@
 //	snapshot, err := settings.NewSnapshot(settings.Version{Number: 7}, tree)
 //	route, ok := snapshot.Match("GET", "/folders/42")
 //
-// For storage and for spreading, a tree is cut into records, one for each
-// branch; a record is addressed by its digest (see Tree.Records).
+// For storage and propagation, a tree is split into records, one for each branch. A
+// record is identified by its digest (see Tree.Records).
 package settings
--- a/pkg/settings/edit.go
+++ b/pkg/settings/edit.go
@@ -11,23 +11,23 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Errors of an edit.
+// Errors of ParseEdit and Tree.With.
 var (
 	ErrPath = errs.New("settings.path", http.StatusNotFound, "no such branch or route in the tree")
 	ErrEdit = errs.New("settings.edit", http.StatusBadRequest, "edit not understood")
 )
 
-// Edit sets one value of one node of the tree, or takes it away.
+// Edit sets or removes one value of a tree node.
 type Edit struct {
-	// Field is a field of the node, such as Match.PathPrefix; without a dot it is
-	// one of the Overrides.
+	// Field is the dotted name of a field of the tree node, such as
+	// Match.PathPrefix or Overrides.Deadline.
 	Field string
-	// Value is JSON or plain text; empty takes the value away, so that the node
-	// inherits it again.
+	// Value is JSON or plain text. An empty value removes the field, so that the tree
+	// node inherits it again.
 	Value string
 }
 
-// ParseEdit reads "Key=Value".
+// ParseEdit parses "Key=Value". A key without a dot is a field of Overrides.
 func ParseEdit(text string) (Edit, error) {
 	field, value, ok := strings.Cut(text, "=")
 	if !ok || field == "" {
@@ -41,7 +41,7 @@
 	return Edit{Field: field, Value: value}, nil
 }
 
-// With returns the tree after edits of the branch or route at a path.
+// With returns a copy of the tree with edits applied to the branch or route at path.
 func (t Tree) With(path string, edits ...Edit) (Tree, error) {
 	b, err := withBranch(t.Branch, split(path), edits)
 	if errors.Is(err, ErrPath) {
@@ -60,7 +60,7 @@
 	return strings.Split(path, "/")
 }
 
-// withBranch copies the branches on the way down and leaves all others shared.
+// withBranch copies the branches along the path and shares all others.
 func withBranch(b Branch, names []string, edits []Edit) (Branch, error) {
 	if len(names) == 0 {
 		return b, apply(&b, edits)
@@ -88,14 +88,14 @@
 	return b, err
 }
 
-// apply edits the fields of a node by their names in a file.
+// apply edits fields of a tree node by their JSON names.
 func apply[T Branch | Route](node *T, edits []Edit) error {
 	for _, e := range edits {
-		next, err := edited(*node, e, json.RawMessage(e.Value))
+		next, err := withField(*node, e, json.RawMessage(e.Value))
 		if err != nil {
-			// What is not JSON of the right type may be text without quotes.
+			// A value that is not JSON of the field's type may be an unquoted string.
 			quoted, _ := json.Marshal(e.Value)
-			if next, err = edited(*node, e, quoted); err != nil {
+			if next, err = withField(*node, e, quoted); err != nil {
 				return ErrEdit.With("%s=%s: %v", e.Field, e.Value, err)
 			}
 		}
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func edited[T any](node T, e Edit, value json.RawMessage) (T, error) {
+func withField[T any](node T, e Edit, value json.RawMessage) (T, error) {
 	var next T
 
 	data, err := json.Marshal(node)
--- a/pkg/settings/edit_test.go
+++ b/pkg/settings/edit_test.go
@@ -9,7 +9,7 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-func midlands(t *testing.T) settings.Tree {
+func parseMidlands(t *testing.T) settings.Tree {
 	t.Helper()
 
 	data, err := os.ReadFile("../../examples/midlands/tree.jsonc")
@@ -36,8 +36,8 @@
 	return tree.With(path, edits...)
 }
 
-func TestEditChangesOneNodeAndNoOther(t *testing.T) {
-	tree := midlands(t)
+func TestEditChangesOnlyNamedTreeNode(t *testing.T) {
+	tree := parseMidlands(t)
 
 	next, err := edit(t, tree, "/midlands/ledger/upload", "Deadline=7s", "Match.PathPrefix=/up/", "BodyLimit=")
 	assert.NilError(t, err)
@@ -57,11 +57,11 @@
 - /midlands/ledger/upload Overrides.BodyLimit 2097152
 ~ /midlands/ledger/upload Overrides.Deadline "5s" -> "7s"
 `)
-	assert.DeepEqual(t, tree, midlands(t))
+	assert.DeepEqual(t, tree, parseMidlands(t))
 }
 
-func TestEditsThatAreNotUnderstood(t *testing.T) {
-	tree := midlands(t)
+func TestInvalidEditsAreRejected(t *testing.T) {
+	tree := parseMidlands(t)
 
 	for _, c := range []struct {
 		path, text string
@@ -82,8 +82,8 @@
 	assert.ErrorIs(t, err, settings.ErrEdit)
 }
 
-func TestExplainNamesTheNodeOfEachValue(t *testing.T) {
-	origins, err := midlands(t).Explain("/midlands/ledger/permission-lookup")
+func TestExplainReportsOriginOfEachValue(t *testing.T) {
+	origins, err := parseMidlands(t).Explain("/midlands/ledger/permission-lookup")
 	assert.NilError(t, err)
 
 	lines := ""
@@ -101,13 +101,13 @@
 Service "ledger" name of the service branch /midlands/ledger
 `)
 
-	_, err = midlands(t).Explain("/midlands/nowhere")
+	_, err = parseMidlands(t).Explain("/midlands/nowhere")
 	assert.ErrorIs(t, err, settings.ErrPath)
 }
 
-// Every fault is printed, so that an operator mends a tree in one go.
-func TestCheckReturnsEveryFault(t *testing.T) {
-	tree, err := edit(t, midlands(t), "/midlands/ledger", "Attempts=9", "Deadline=1h", "Class=Urgent", "RetryBudget=2")
+// Check must report all faults at once, so that an operator can fix them in one edit.
+func TestCheckReturnsAllFaults(t *testing.T) {
+	tree, err := edit(t, parseMidlands(t), "/midlands/ledger", "Attempts=9", "Deadline=1h", "Class=Urgent", "RetryBudget=2")
 	assert.NilError(t, err)
 
 	tree, err = edit(t, tree, "/midlands/browse", "Service=nowhere", "Service.Slots=0")
--- a/pkg/settings/explain.go
+++ b/pkg/settings/explain.go
@@ -7,24 +7,24 @@
 	"strings"
 )
 
-// Origin tells one effective value and the node of the tree that it comes from.
+// Origin is one effective value and the tree node that sets it.
 type Origin struct {
 	Key   string `json:"Key"`
 	Value string `json:"Value"`
 	From  string `json:"From"`
 }
 
-// fromDefaults and fromName are the origins of values that no node sets.
+// fromDefaults and fromName are the origins of values that no tree node sets.
 const (
 	fromDefaults = "default"
 	fromName     = "name of the service branch /"
 )
 
-// Explain returns the effective values at a branch or route, each with the node
-// that it comes from, in the order of keys.
+// Explain returns the effective values at a branch or route with their origins,
+// sorted by key.
 func (t Tree) Explain(path string) ([]Origin, error) {
 	found := map[string]Origin{}
-	note(found, DefaultValues(), fromDefaults)
+	addOrigins(found, DefaultValues(), fromDefaults)
 
 	names, b := split(path), t.Branch
 	explainBranch(found, RootPath, b)
@@ -44,7 +44,7 @@
 			return nil, ErrPath.With("/%s", at)
 		}
 
-		note(found, route.Overrides, "/"+at)
+		addOrigins(found, route.Overrides, "/"+at)
 	}
 
 	out := make([]Origin, 0, len(found))
@@ -58,14 +58,15 @@
 func explainBranch(found map[string]Origin, path string, b Branch) {
 	if b.Service != nil {
 		name := lastName(path)
-		found["Service"] = Origin{Key: "Service", Value: text(name), From: fromName + path}
+		found["Service"] = Origin{Key: "Service", Value: jsonText(name), From: fromName + path}
 	}
 
-	note(found, b.Overrides, "/"+path)
+	addOrigins(found, b.Overrides, "/"+path)
 }
 
-// note takes the values that are set, by their names in a file.
-func note(found map[string]Origin, values any, from string) {
+// addOrigins stores the origin of each value that is set, by JSON name. It replaces
+// origins of the same name, so that the deepest tree node wins.
+func addOrigins(found map[string]Origin, values any, from string) {
 	data, err := json.Marshal(values)
 	if err != nil {
 		return
@@ -81,7 +82,7 @@
 	}
 }
 
-func text(v any) string {
+func jsonText(v any) string {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err.Error()
--- a/pkg/settings/fuzz_test.go
+++ b/pkg/settings/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Whatever an operator sends, a tree without faults can be written, read again
-// and resolved to the same routes.
+// Every tree without faults survives a round trip through Text and Parse with the
+// same number of routes.
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"midlands", "kyushu"} {
 		data, err := os.ReadFile("../../examples/" + name + "/tree.jsonc")
--- a/pkg/settings/index.go
+++ b/pkg/settings/index.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// index finds the longest prefix of a path without walking all routes: with 310
-// services a walk costs more than the rest of a call's decisions.
-type index map[string]*prefixes
-
-// prefixes are the routes of one method by their prefix, with the lengths that
-// occur, longest first. Trees have a handful of lengths and thousands of routes.
-type prefixes struct {
+// index holds the routes by HTTP method and finds the longest matching prefix without
+// a scan of all routes. With 310 services a scan costs more than all other decisions
+// about a call together.
+type index map[string]*methodRoutes
+
+// methodRoutes holds the routes of one method by prefix, and the distinct prefix
+// lengths in descending order. Trees have few lengths and thousands of routes.
+type methodRoutes struct {
 	lengths []int
 	routes  map[string]Resolved
 }
@@ -19,7 +20,7 @@
 	for _, r := range routes {
 		p := x[r.Match.Method]
 		if p == nil {
-			p = &prefixes{routes: map[string]Resolved{}}
+			p = &methodRoutes{routes: map[string]Resolved{}}
 			x[r.Match.Method] = p
 		}
 
--- a/pkg/settings/main_test.go
+++ b/pkg/settings/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The property tests draw the same cases each time.
+// TestMain fixes the seed, so that property tests run the same cases each time.
 func TestMain(m *testing.M) {
 	flag.Parse()
 
--- a/pkg/settings/records.go
+++ b/pkg/settings/records.go
@@ -16,21 +16,21 @@
 // ErrRecord is returned for records that do not make up a tree.
 var ErrRecord = errs.New("settings.record", http.StatusUnprocessableEntity, "records do not make up a tree")
 
-// Digest addresses the bytes of a record.
+// Digest is the content hash of a record: SHA-256 truncated to 128 bits, in hex.
 type Digest string
 
-// DigestOf returns the digest of the bytes.
+// DigestOf returns the digest of data.
 func DigestOf(data []byte) Digest {
 	sum := sha256.Sum256(data)
 
 	return Digest(hex.EncodeToString(sum[:16]))
 }
 
-// Records is a tree cut into its branches: the encoded branch by path.
+// Records holds the encoded branches of a tree by path.
 type Records map[string][]byte
 
-// Records cuts the tree. The encoding is deterministic, so that equal branches
-// have equal digests on every node.
+// Records encodes each branch of the tree. The encoding is deterministic, so that
+// equal branches have equal digests on every node.
 func (t Tree) Records() (Records, error) {
 	records := Records{}
 
@@ -48,16 +48,16 @@
 	return records, failed
 }
 
-// record is the wire form of a branch without its child branches. Routes are a
-// sorted list, since the order of a map would change the digest.
+// record is the encoded form of a branch without its child branches. Routes are a
+// sorted list, since a varying map order would change the digest.
 type record struct {
-	Region    *Region     `msgpack:"Region,omitempty"`
-	Service   *Service    `msgpack:"Service,omitempty"`
-	Overrides Overrides   `msgpack:"Overrides"`
-	Routes    []namedLeaf `msgpack:"Routes,omitempty"`
+	Region    *Region      `msgpack:"Region,omitempty"`
+	Service   *Service     `msgpack:"Service,omitempty"`
+	Overrides Overrides    `msgpack:"Overrides"`
+	Routes    []namedRoute `msgpack:"Routes,omitempty"`
 }
 
-type namedLeaf struct {
+type namedRoute struct {
 	Name  string `msgpack:"Name"`
 	Route Route  `msgpack:"Route"`
 }
@@ -65,7 +65,7 @@
 func encode(b Branch) ([]byte, error) {
 	r := record{Region: b.Region, Service: b.Service, Overrides: b.Overrides}
 	for _, name := range slices.Sorted(maps.Keys(b.Routes)) {
-		r.Routes = append(r.Routes, namedLeaf{Name: name, Route: b.Routes[name]})
+		r.Routes = append(r.Routes, namedRoute{Name: name, Route: b.Routes[name]})
 	}
 
 	data, err := msgpack.Marshal(r)
@@ -104,7 +104,7 @@
 	return out
 }
 
-// TreeDigest returns one digest over all branch digests.
+// TreeDigest returns one digest over the paths and digests of all branches.
 func TreeDigest(branches map[string]Digest) Digest {
 	var b strings.Builder
 
@@ -118,7 +118,7 @@
 	return DigestOf([]byte(b.String()))
 }
 
-// Tree puts the records together again.
+// Tree decodes the records and assembles the tree.
 func (r Records) Tree() (Tree, error) {
 	nodes, err := r.nodes()
 	if err != nil {
@@ -128,7 +128,7 @@
 	return assemble(nodes)
 }
 
-// nodes decodes each record, without its child branches.
+// nodes decodes each record into a branch without child branches.
 func (r Records) nodes() (map[string]Branch, error) {
 	nodes := make(map[string]Branch, len(r))
 
@@ -144,7 +144,7 @@
 	return nodes, nil
 }
 
-// assemble puts decoded branches into a tree and leaves them as they are.
+// assemble builds a tree from decoded branches without modifying them.
 func assemble(nodes map[string]Branch) (Tree, error) {
 	if _, ok := nodes[RootPath]; !ok {
 		return Tree{}, ErrRecord.With("the root is missing")
--- a/pkg/settings/snapshot.go
+++ b/pkg/settings/snapshot.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Version names an accepted tree.
+// Version identifies an accepted tree.
 type Version struct {
 	Number       uint64            `json:"Number" msgpack:"Number"`
 	Digest       Digest            `json:"Digest" msgpack:"Digest"`
@@ -17,7 +17,7 @@
 	Branches     map[string]Digest `json:"Branches,omitempty" msgpack:"Branches,omitempty"`
 }
 
-// Snapshot is one accepted version, whole and immutable.
+// Snapshot is one accepted version of the tree. It is complete and immutable.
 type Snapshot struct {
 	version Version
 	records Records
@@ -26,11 +26,11 @@
 	index   index
 }
 
-// NewSnapshot checks the records as a whole against the version and returns the
-// snapshot, or an error and nothing.
+// NewSnapshot verifies the complete set of records against the digest of the version,
+// validates the tree and returns the snapshot.
 //
-// A half fetched or mixed set of records would send calls by rules that no
-// operator accepted; the digests show it before anything is swapped.
+// A partial or mixed set of records would route calls by rules that no operator
+// accepted; the digest detects this before a node activates the snapshot.
 func NewSnapshot(v Version, records Records) (*Snapshot, error) {
 	nodes, err := records.nodes()
 	if err != nil {
@@ -40,9 +40,9 @@
 	return newSnapshot(v, records, nodes, records.Digests())
 }
 
-// Apply returns the snapshot after some branches changed, checked as a whole. It
-// decodes and digests only those, so that a change of one leaf in a large tree
-// costs little on each node.
+// Apply returns a new snapshot with some branches changed or removed, verified like
+// one from NewSnapshot. It decodes and hashes only the changed branches, so that a
+// change of one route in a large tree costs little on each node.
 func (s *Snapshot) Apply(v Version, changed Records, removed []string) (*Snapshot, error) {
 	decoded, err := changed.nodes()
 	if err != nil {
@@ -91,8 +91,9 @@
 // Tree returns the tree; callers must not change it.
 func (s *Snapshot) Tree() Tree { return s.tree }
 
-// UnknownService returns the path of a route whose service is not declared, or
-// nothing. NewSnapshot lets no such snapshot come about.
+// UnknownService returns the path of the first route whose service is not declared,
+// or an empty string. NewSnapshot rejects such trees, so a path is an invariant
+// violation.
 func (s *Snapshot) UnknownService() string {
 	known := s.tree.Services()
 
@@ -105,10 +106,10 @@
 	return ""
 }
 
-// Match returns the most specific route for a request.
+// Match returns the route of the method with the longest matching path prefix.
 func (s *Snapshot) Match(method, path string) (Resolved, bool) {
 	return s.index.match(method, path)
 }
 
-// Paths returns the paths of all branches, in order.
+// Paths returns the sorted paths of all branches.
 func (s *Snapshot) Paths() []string { return slices.Sorted(maps.Keys(s.records)) }
--- a/pkg/settings/snapshot_test.go
+++ b/pkg/settings/snapshot_test.go
@@ -43,13 +43,12 @@
 	return s
 }
 
-// A node that applies changes one after the other has to answer as one that read
-// the whole tree. If it did not, two nodes would send the same request to
-// different places under one version number.
-func TestChangesLeadToTheSameAsTheWholeTree(t *testing.T) {
+// Applying changes one by one must give the same snapshot as loading the whole tree.
+// Otherwise two nodes with the same version number would route a request differently.
+func TestApplyGivesSameSnapshotAsWholeTree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := tree(8)
-		held := snapshot(rt, 1, now)
+		current := snapshot(rt, 1, now)
 
 		for step := range rapid.IntRange(1, 6).Draw(rt, "steps") {
 			next := settings.Tree{Branch: now.Branch}
@@ -70,14 +69,14 @@
 			}
 
 			whole := snapshot(rt, uint64(step+2), next)
-			changed, removed := difference(held, whole)
+			changed, removed := difference(current, whole)
 
-			got, err := held.Apply(whole.Version(), changed, removed)
+			got, err := current.Apply(whole.Version(), changed, removed)
 			assert.NilError(rt, err)
 			assert.DeepEqual(rt, got.Tree(), whole.Tree())
 			assert.DeepEqual(rt, got.Version(), whole.Version())
 
-			held, now = got, next
+			current, now = got, next
 		}
 	})
 }
@@ -102,9 +101,9 @@
 	return changed, removed
 }
 
-// A change that arrives with a branch missing or of another version must not be
-// answered with: the digest over all branches shows it.
-func TestMixedRecordsAreRefused(t *testing.T) {
+// A change with a missing branch or a branch of another version must be rejected; the
+// digest over all branches detects it.
+func TestMixedRecordsAreRejected(t *testing.T) {
 	one := snapshot(t, 1, tree(3))
 	two := tree(3)
 	b := two.Branches["s001"]
@@ -139,8 +138,8 @@
 	})
 }
 
-// The index has to find what a walk over all routes, longest prefix first, finds.
-func TestMatchIsTheLongestPrefixOfTheMethod(t *testing.T) {
+// The index must find the same route as a scan of all routes for the longest prefix.
+func TestMatchUsesLongestPrefixOfMethod(t *testing.T) {
 	prefixes := []string{"/", "/a", "/a/", "/ab", "/a/b/", "/a/b/c", "/é/"}
 	two := tree(1)
 	b := two.Branches["s000"]
--- a/pkg/settings/tree.go
+++ b/pkg/settings/tree.go
@@ -9,7 +9,7 @@
 	"github.com/pollencart/pollencart/internal/jsonc"
 )
 
-// Tree is the whole of the settings; its fields are the root's.
+// Tree is a complete settings tree; the embedded Branch is its root.
 type Tree struct {
 	Branch
 }
@@ -55,7 +55,7 @@
 	PathPrefix string `json:"PathPrefix" msgpack:"PathPrefix"`
 }
 
-// Parse decodes a tree from JSON with comments.
+// Parse decodes a tree from JSON with comments; file is used in error messages.
 func Parse(file string, data []byte) (Tree, error) {
 	var t Tree
 	if err := jsonc.Decode(file, data, &t.Branch); err != nil {
@@ -77,7 +77,7 @@
 	return path + "/" + name
 }
 
-// Walk calls visit for each branch, parents first, in the order of names.
+// Walk calls visit for each branch, parents before children, siblings by name.
 func (t Tree) Walk(visit func(path string, b Branch)) {
 	walk(RootPath, t.Branch, visit)
 }
@@ -114,7 +114,7 @@
 	Values Values
 }
 
-// Resolve returns every route with the values it inherits or overrides.
+// Resolve returns every route with its effective values.
 func (t Tree) Resolve() []Resolved {
 	return resolve(RootPath, t.Branch, DefaultValues(), nil)
 }
@@ -138,7 +138,7 @@
 	return out
 }
 
-// Text returns the tree as a file that Parse takes.
+// Text returns the tree as indented JSON, which Parse accepts.
 func (t Tree) Text() ([]byte, error) {
 	return json.MarshalIndent(t.Branch, "", "  ")
 }
--- a/pkg/settings/values.go
+++ b/pkg/settings/values.go
@@ -10,13 +10,13 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// ErrDuration is returned for text that is not a duration.
+// ErrDuration is returned for JSON that is not a string with a valid duration.
 var ErrDuration = errs.New("settings.duration", http.StatusBadRequest, "not a duration such as \"250ms\" or \"2s\"")
 
-// Duration is a time.Duration written as text.
+// Duration is a time.Duration that is a string in JSON, such as "250ms".
 type Duration time.Duration
 
-// String returns the duration as it is written in a file.
+// String returns the duration in the format of time.Duration.
 func (d Duration) String() string { return time.Duration(d).String() }
 
 // MarshalJSON implements json.Marshaler.
@@ -63,11 +63,11 @@
 // Classes lists the classes, most urgent first.
 func Classes() []Class { return []Class{ClassInteractive, ClassWrite, ClassBackground} }
 
-// ClassCount is how many classes there are.
+// ClassCount is the number of classes.
 const ClassCount = 3
 
-// Rank returns the place of the class in Classes; an unknown one counts as the
-// most urgent.
+// Rank returns the index of the class in Classes. An unknown class ranks as the most
+// urgent.
 func (c Class) Rank() int {
 	switch c {
 	case ClassWrite:
@@ -117,7 +117,7 @@
 	Queue       int
 }
 
-// DefaultValues returns the values that hold above the root of every tree.
+// DefaultValues returns the values that the root of every tree inherits.
 func DefaultValues() Values {
 	return Values{
 		Class:       ClassInteractive,
