--- a/internal/harness/deployment.go
+++ b/internal/harness/deployment.go
@@ -1,6 +1,6 @@
-// Package harness starts a deployment as separate processes on loopback
-// addresses: a platform, and on each host a node and a backend server. The
-// demonstration and the experiments use it; no part of a node does.
+// Package harness starts a deployment as separate processes on loopback addresses: a fake
+// platform, and a node and a backend server per host. The demonstration and the experiments
+// use it; node code does not.
 //
 //	d, err := harness.LoadDeployment("examples/midlands/deployment.jsonc")
 //	f, err := harness.Start(ctx, d, harness.Options{Binaries: "bin", Dir: dir})
@@ -22,7 +22,7 @@
 // ErrHarness is returned if the deployment can't be started.
 var ErrHarness = errs.New("harness", http.StatusInternalServerError, "deployment failed")
 
-// Deployment is which hosts there are.
+// Deployment describes the failure domains, services and hosts to start.
 type Deployment struct {
 	Region         string      `json:"Region"`
 	Mode           config.Mode `json:"Mode"`
@@ -30,7 +30,7 @@
 	Services       []Service   `json:"Services"`
 }
 
-// Service is one service and the failure domains of its upstreams.
+// Service describes a service; Upstreams has the failure domain of each backend server.
 type Service struct {
 	Name        string   `json:"Name"`
 	Slots       int      `json:"Slots"`
@@ -38,10 +38,10 @@
 	Upstreams   []string `json:"Upstreams"`
 }
 
-// perHost is how many addresses a host has.
-const perHost = 4
+// addressesPerHost is the number of addresses of a host: peer, caller, control and backend server.
+const addressesPerHost = 4
 
-// Host is one host: a node and a backend server.
+// Host is a host with a node and a backend server, and their addresses.
 type Host struct {
 	ID            string
 	FailureDomain string
@@ -64,7 +64,7 @@
 	return d, jsonc.Decode(file, data, &d)
 }
 
-// Hosts returns the hosts with free addresses.
+// Hosts returns the hosts of the deployment and assigns an address to each listener.
 func (d Deployment) Hosts() ([]Host, error) {
 	var hosts []Host
 
@@ -74,39 +74,41 @@
 		}
 	}
 
-	addresses, err := FreeAddresses(perHost * len(hosts))
+	addresses, err := FreeAddresses(addressesPerHost * len(hosts))
 	if err != nil {
 		return nil, err
 	}
 
 	for i := range hosts {
-		a := addresses[perHost*i:]
+		a := addresses[addressesPerHost*i:]
 		hosts[i].Peer, hosts[i].Caller, hosts[i].Control, hosts[i].Backend = a[0], a[1], a[2], a[3]
 	}
 
 	return hosts, nil
 }
 
-// Addresses of this process: each process has a loopback address of its own by
-// its ID, so that experiments at the same time never meet.
+// Each process derives its own loopback IP address from its process ID, so that concurrent
+// experiments do not share addresses.
 const (
-	firstNet  = 16
-	firstPort = 20_000
-	lastPort  = 32_000
-	byteBits  = 8
-	byteMask  = 0xff
+	firstSubnet = 16
+	firstPort   = 20_000
+	lastPort    = 32_000
+	byteBits    = 8
+	byteMask    = 0xff
 )
 
-var lastAddress atomic.Int32
+// portCounter is the number of ports assigned so far.
+var portCounter atomic.Int32
 
-// FreeAddresses returns loopback addresses that nobody else uses.
+// FreeAddresses returns n loopback addresses that no earlier call in this process returned, or
+// an error if the port range is exhausted. It does not check that the ports are free.
 func FreeAddresses(n int) ([]string, error) {
 	pid := os.Getpid()
-	ip := net.IPv4(127, byte(firstNet+pid>>(2*byteBits)), byte(pid>>byteBits&byteMask), byte(pid&byteMask)) //nolint:mnd // loopback
+	ip := net.IPv4(127, byte(firstSubnet+pid>>(2*byteBits)), byte(pid>>byteBits&byteMask), byte(pid&byteMask)) //nolint:mnd // loopback
 	out := make([]string, 0, n)
 
 	for range n {
-		port := firstPort + int(lastAddress.Add(1))
+		port := firstPort + int(portCounter.Add(1))
 		if port > lastPort {
 			return nil, ErrHarness.With("no free addresses left")
 		}
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -15,24 +15,24 @@
 	"github.com/pollencart/pollencart/internal/operator"
 )
 
-// Options of a started deployment.
+// Options configures Start.
 type Options struct {
-	// Binaries is the folder of the programs, Dir where settings files and logs go.
+	// Binaries is the directory of the programs, Dir the one for settings files and logs.
 	Binaries string
 	Dir      string
-	// Work is how long the backend servers take over a call.
+	// Work is the service time of a call on a backend server; zero means 2 ms.
 	Work time.Duration
-	// NoBackends starts nodes only.
+	// NoBackends disables the start of backend servers.
 	NoBackends bool
-	// BackendArgs are added to the command line of every backend server.
+	// BackendArgs are appended to the command line of every backend server.
 	BackendArgs []string
-	// LogLevel of the nodes.
+	// LogLevel is the log level of the nodes; empty means the default.
 	LogLevel string
-	// FaultInjection gives the nodes the switch that cuts their links.
+	// FaultInjection enables the control API with which tests cut the links of a node.
 	FaultInjection bool
 }
 
-// Fleet is a started deployment.
+// Fleet is a running deployment.
 type Fleet struct {
 	Deployment Deployment
 	Hosts      []Host
@@ -44,7 +44,7 @@
 	processes map[string]*Process
 }
 
-// Start starts all processes of the deployment.
+// Start starts all processes of the deployment and waits until every node is healthy.
 func Start(ctx context.Context, d Deployment, o Options) (*Fleet, error) {
 	hosts, err := d.Hosts()
 	if err != nil {
@@ -80,10 +80,10 @@
 		args = append(args, "--listen", addresses[i])
 	}
 
-	return f.run("platform", "standin", args...)
+	return f.start("platform", "standin", args...)
 }
 
-// StartHost starts the node and the backend server of a host.
+// StartHost starts the node of a host and, unless NoBackends is set, its backend server.
 func (f *Fleet) StartHost(i int) error {
 	if err := f.StartNode(i); err != nil || f.options.NoBackends {
 		return err
@@ -102,12 +102,12 @@
 		return err
 	}
 
-	const private = 0o600
-	if err := os.WriteFile(file, data, private); err != nil {
+	const fileMode = 0o600
+	if err := os.WriteFile(file, data, fileMode); err != nil {
 		return err
 	}
 
-	return f.run(NodeName(h.ID), "pollencart", "node", "--settings", file)
+	return f.start(NodeName(h.ID), "pollencart", "node", "--settings", file)
 }
 
 func (f *Fleet) config(i int) config.Config {
@@ -123,7 +123,7 @@
 		c.LogLevel = f.options.LogLevel
 	}
 
-	// Two seeds, far apart in the list, so that they seldom fail together.
+	// Two seeds far apart in the list are unlikely to fail together.
 	for _, seed := range []int{0, len(f.Hosts) / 2} {
 		c.Peers = append(c.Peers, f.Hosts[seed].Peer)
 	}
@@ -139,29 +139,29 @@
 		"backend",
 		"--name", h.ID, "--service", h.Service.Name, "--listen", h.Backend, "--node", h.Control,
 		"--slots", strconv.Itoa(h.Service.Slots), "--connections", strconv.Itoa(h.Service.Connections),
-		"--work", f.work().String(),
+		"--work", f.serviceTime().String(),
 	}
 
-	return f.run(BackendName(h.ID), "standin", append(args, f.options.BackendArgs...)...)
+	return f.start(BackendName(h.ID), "standin", append(args, f.options.BackendArgs...)...)
 }
 
-func (f *Fleet) work() time.Duration {
+func (f *Fleet) serviceTime() time.Duration {
 	if f.options.Work > 0 {
 		return f.options.Work
 	}
 
-	const usual = 2 * time.Millisecond
+	const defaultWork = 2 * time.Millisecond
 
-	return usual
+	return defaultWork
 }
 
-// NodeName names the process of a host's node.
+// NodeName returns the process name of a host's node.
 func NodeName(host string) string { return "node-" + host }
 
-// BackendName names the process of a host's backend server.
+// BackendName returns the process name of a host's backend server.
 func BackendName(host string) string { return "backend-" + host }
 
-func (f *Fleet) run(name, program string, args ...string) error {
+func (f *Fleet) start(name, program string, args ...string) error {
 	p, err := startProcess(name, filepath.Join(f.options.Binaries, program), f.options.Dir, args...)
 	if err != nil {
 		return err
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// Process returns a started process by name, or nil.
+// Process returns the most recently started process with the name, or nil.
 func (f *Fleet) Process(name string) *Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -183,7 +183,7 @@
 	return f.processes[name]
 }
 
-// Processes returns all started processes.
+// Processes returns the most recently started process of each name.
 func (f *Fleet) Processes() []*Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -196,7 +196,7 @@
 	return out
 }
 
-// Stop ends all processes that this fleet started.
+// Stop kills the processes that Processes returns.
 func (f *Fleet) Stop() {
 	for _, p := range f.Processes() {
 		p.Kill()
@@ -213,7 +213,7 @@
 	return out
 }
 
-// Operator returns a client of the node on a host.
+// Operator returns an operator client for the node of a host.
 func (f *Fleet) Operator(i int) *operator.Client { return operator.NewClient(f.Hosts[i].Control) }
 
 func (f *Fleet) waitHealthy(ctx context.Context) error {
@@ -226,10 +226,10 @@
 	return nil
 }
 
-// WaitOK asks a URL until it answers with 200.
+// WaitOK polls a URL until it responds with 200 or ctx ends.
 func WaitOK(ctx context.Context, url string) error {
 	return Wait(ctx, url, func() bool {
-		resp, err := http.Get(url) //nolint:gosec,noctx // a loopback address of ours
+		resp, err := http.Get(url) //nolint:gosec,noctx // a loopback address of this fleet
 		if err != nil {
 			return false
 		}
@@ -240,29 +240,29 @@
 	})
 }
 
-// Wait asks until the condition holds or ctx ends.
-func Wait(ctx context.Context, what string, holds func() bool) error {
-	const pause = 20 * time.Millisecond
+// Wait polls until the condition holds or ctx ends.
+func Wait(ctx context.Context, what string, condition func() bool) error {
+	const pollInterval = 20 * time.Millisecond
 
-	for !holds() {
+	for !condition() {
 		select {
 		case <-ctx.Done():
 			return ErrHarness.With("waiting for %s", what).Wrap(ctx.Err())
-		case <-time.After(pause):
+		case <-time.After(pollInterval):
 		}
 	}
 
 	return nil
 }
 
-// WaitVersion waits until the version is in force on all nodes and returns the
-// status.
+// WaitVersion waits until the version or a newer one is active on all nodes, as host 0 reports
+// it, and returns the last status.
 func (f *Fleet) WaitVersion(ctx context.Context, number uint64) (operator.Status, error) {
 	var s operator.Status
 
 	err := Wait(ctx, fmt.Sprintf("version %d", number), func() bool {
-		now, err := f.Operator(0).Status(ctx)
-		s = now
+		status, err := f.Operator(0).Status(ctx)
+		s = status
 
 		return err == nil && s.Newest >= number && s.ActiveNodes == len(f.Hosts)
 	})
@@ -270,7 +270,7 @@
 	return s, err
 }
 
-// WaitServing waits until every node knows every backend server.
+// WaitServing waits until every node reports as many ready backend servers as there are hosts.
 func (f *Fleet) WaitServing(ctx context.Context) error {
 	return Wait(ctx, "backend servers", func() bool {
 		s, err := f.Operator(0).Status(ctx)
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Process is one started process; only these are ever signalled.
+// Process is a process that this package started. The package signals no other process.
 type Process struct {
 	Name string
 
@@ -17,9 +17,9 @@
 }
 
 func startProcess(name, program, dir string, args ...string) (*Process, error) {
-	const private = 0o600
+	const fileMode = 0o600
 
-	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, private)
+	log, err := os.OpenFile(filepath.Join(dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return nil, ErrHarness.Wrap(err)
 	}
@@ -27,7 +27,7 @@
 
 	cmd := exec.Command(program, args...) //nolint:gosec,noctx // a program of this project
 	cmd.Stdout, cmd.Stderr = log, log
-	// If the experiment itself is killed, its processes go with it.
+	// The kernel kills the process when the experiment's own process dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 
 	if err := cmd.Start(); err != nil {
@@ -47,7 +47,7 @@
 // Pid returns the process ID.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process is still running.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -57,28 +57,28 @@
 	}
 }
 
-// Terminate asks for a graceful stop and waits for its end; it reports whether
-// the process ended by itself in time.
-func (p *Process) Terminate(within time.Duration) bool {
+// Terminate sends SIGTERM and waits for the process to exit. It reports whether the process
+// exited with status 0 before the timeout.
+func (p *Process) Terminate(timeout time.Duration) bool {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 
 	select {
 	case <-p.done:
 		return p.cmd.ProcessState.ExitCode() == 0
-	case <-time.After(within):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// Kill ends the process at once.
+// Kill kills the process, also a paused one, and waits for its end.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Freeze stops the process without its notice; Wake lets it go on.
+// Freeze pauses the process with SIGSTOP, which the process can't handle.
 func (p *Process) Freeze() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Wake lets a frozen process go on.
+// Wake resumes a paused process with SIGCONT.
 func (p *Process) Wake() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
