--- a/internal/sidecar/drills_test.go
+++ b/internal/sidecar/drills_test.go
@@ -49,7 +49,7 @@
 
 		before := leaving.backend.Calls()
 
-		f.store.Away(http.StatusServiceUnavailable)
+		f.store.SetUnavailable(http.StatusServiceUnavailable)
 		time.Sleep(100 * time.Millisecond)
 		f.store.Restore(older)
 
--- a/internal/sidecar/epoch_test.go
+++ b/internal/sidecar/epoch_test.go
@@ -51,7 +51,7 @@
 
 	older := f.store.Copy()
 	f.store.Write(platform.ConfigurationKey, standin.Document(2, "browse", "ledger"))
-	f.store.Away(http.StatusServiceUnavailable)
+	f.store.SetUnavailable(http.StatusServiceUnavailable)
 	f.store.Restore(older)
 
 	for _, h := range f.hosts {
--- a/internal/soak/hosts/restore.go
+++ b/internal/soak/hosts/restore.go
@@ -24,7 +24,7 @@
 		status = -1 // connections end without an answer
 	}
 
-	r.store.Away(status)
+	r.store.SetUnavailable(status)
 	time.Sleep(time.Duration(random.Int64N(int64(awayTime))))
 	r.store.Restore(older)
 	time.Sleep(time.Duration(random.Int64N(int64(handTime))))
