--- a/internal/sidecar/drills_test.go
+++ b/internal/sidecar/drills_test.go
@@ -60,7 +60,7 @@
 			eventually(t, leaving.ready)
 		}
 
-		f.store.WriteAgain()
+		f.store.RepeatOperatorWrites()
 
 		since := time.Now()
 
--- a/internal/soak/hosts/restore.go
+++ b/internal/soak/hosts/restore.go
@@ -28,5 +28,5 @@
 	time.Sleep(time.Duration(random.Int64N(int64(awayTime))))
 	r.store.Restore(older)
 	time.Sleep(time.Duration(random.Int64N(int64(handTime))))
-	r.store.WriteAgain()
+	r.store.RepeatOperatorWrites()
 }
