--- a/internal/soak/hosts/play.go
+++ b/internal/soak/hosts/play.go
@@ -27,7 +27,7 @@
 		{"settings signal", func(_ *run, _ *rand.Rand, h *host) { h.signal(syscall.SIGHUP) }},
 		{"store down", (*run).storeDown},
 		{"store loses answers", (*run).storeLoses},
-		{"store forgets", func(r *run, _ *rand.Rand, _ *host) { r.store.Forget() }},
+		{"store forgets", func(r *run, _ *rand.Rand, _ *host) { r.store.DropHistory() }},
 		{"store silent", (*run).storeSilent},
 		{"store resets", func(r *run, _ *rand.Rand, _ *host) { r.link.reset() }},
 		{"store restored", (*run).storeRestored},
