--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -299,7 +299,7 @@
 		assert.Equal(t, <-statuses, http.StatusOK)
 	}
 
-	assert.Assert(t, f.hosts[0].backend.Most() <= 4)
+	assert.Assert(t, f.hosts[0].backend.MaxRunning() <= 4)
 }
 
 // The settings file changes without a signal. Bounds are taken over; what needs a
--- a/internal/soak/hosts/backend.go
+++ b/internal/soak/hosts/backend.go
@@ -166,7 +166,7 @@
 func (b *backend) check() {
 	current, _, _ := b.state()
 
-	if most := current.Most(); most > backendSlots {
+	if most := current.MaxRunning(); most > backendSlots {
 		b.report.broken("%d calls ran at once at %s, which has %d slots", most, b.name, backendSlots)
 	}
 }
