--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -77,8 +77,8 @@
 	<-p.done
 }
 
-// Freeze pauses the process with SIGSTOP, which the process can't handle.
-func (p *Process) Freeze() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
+// Pause pauses the process with SIGSTOP, which the process can't handle.
+func (p *Process) Pause() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
 
 // Wake resumes a paused process with SIGCONT.
 func (p *Process) Wake() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -130,7 +130,7 @@
 
 	for _, h := range hosts {
 		i.callers.freeze(i.fleet.Hosts[h].ID, time.Now().Add(s.For+time.Minute))
-		i.fleet.Process(harness.NodeName(i.fleet.Hosts[h].ID)).Freeze()
+		i.fleet.Process(harness.NodeName(i.fleet.Hosts[h].ID)).Pause()
 	}
 
 	idle.For(ctx, s.For)
