--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -80,5 +80,5 @@
 // Pause pauses the process with SIGSTOP, which the process can't handle.
 func (p *Process) Pause() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
 
-// Wake resumes a paused process with SIGCONT.
-func (p *Process) Wake() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
+// Resume resumes a paused process with SIGCONT.
+func (p *Process) Resume() { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -136,7 +136,7 @@
 	idle.For(ctx, s.For)
 
 	for _, h := range hosts {
-		i.fleet.Process(harness.NodeName(i.fleet.Hosts[h].ID)).Wake()
+		i.fleet.Process(harness.NodeName(i.fleet.Hosts[h].ID)).Resume()
 		i.callers.freeze(i.fleet.Hosts[h].ID, time.Now())
 		i.nodes[h].Unlock()
 	}
