--- a/internal/sidecar/drills_test.go
+++ b/internal/sidecar/drills_test.go
@@ -50,7 +50,7 @@
 
 		before := departing.backend.Calls()
 
-		f.store.Away(http.StatusServiceUnavailable)
+		f.store.SetUnavailable(http.StatusServiceUnavailable)
 		time.Sleep(100 * time.Millisecond)
 		f.store.Restore(older)
 
@@ -61,7 +61,7 @@
 			eventually(t, departing.ready)
 		}
 
-		f.store.WriteAgain()
+		f.store.RepeatOperatorWrites()
 
 		since := time.Now()
 
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -297,7 +297,7 @@
 		assert.Equal(t, <-statuses, http.StatusOK)
 	}
 
-	assert.Assert(t, f.hosts[0].backend.Most() <= 4)
+	assert.Assert(t, f.hosts[0].backend.MaxRunning() <= 4)
 }
 
 // The settings file changes without a signal. Changed bounds are applied; a truncated file is rejected.
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -130,13 +130,13 @@
 
 	for _, h := range hosts {
 		i.callers.freeze(i.fleet.Hosts[h].ID, time.Now().Add(s.For+time.Minute))
-		i.fleet.Process(harness.NodeName(i.fleet.Hosts[h].ID)).Freeze()
+		i.fleet.Process(harness.NodeName(i.fleet.Hosts[h].ID)).Pause()
 	}
 
 	idle.For(ctx, s.For)
 
 	for _, h := range hosts {
-		i.fleet.Process(harness.NodeName(i.fleet.Hosts[h].ID)).Wake()
+		i.fleet.Process(harness.NodeName(i.fleet.Hosts[h].ID)).Resume()
 		i.callers.freeze(i.fleet.Hosts[h].ID, time.Now())
 		i.nodes[h].Unlock()
 	}
