--- a/cmd/pollencart/accept.go
+++ b/cmd/pollencart/accept.go
@@ -18,22 +18,22 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// submission holds what accept and edit have in common.
+// submission holds the flags and the request that accept and edit share.
 type submission struct {
-	*common
+	*commonFlags
 
 	request operator.AcceptRequest
 	dryRun  bool
 }
 
-func (s *submission) add(c *kingpin.CmdClause) {
-	c.Flag("id", "Acceptance ID; repeat a command with the ID that it printed to settle a lost answer.").StringVar(&s.request.ID)
-	c.Flag("message", "What this version is for.").Short('m').StringVar(&s.request.Message)
-	c.Flag("dry-run", "Check and print what would change; accept nothing.").BoolVar(&s.dryRun)
-	s.common.add(c)
+func (s *submission) register(c *kingpin.CmdClause) {
+	c.Flag("id", "Acceptance ID. If the outcome of a command is unknown, run it again with the ID that it printed.").StringVar(&s.request.ID)
+	c.Flag("message", "Description of the version, kept in the history.").Short('m').StringVar(&s.request.Message)
+	c.Flag("dry-run", "Check the tree and print what would change, without accepting it.").BoolVar(&s.dryRun)
+	s.commonFlags.register(c)
 }
 
-// submit accepts the tree of the request, or plans it.
+// submit accepts the tree of the request; a dry run only prints the changes.
 func (s *submission) submit(ctx context.Context) error {
 	r := s.request
 	if u, err := user.Current(); err == nil {
@@ -56,15 +56,16 @@
 
 	v, err := s.client().Accept(ctx, r)
 	if err != nil {
-		return withID(r.ID, err)
+		return withAcceptanceID(r.ID, err)
 	}
 
 	return s.print(v, func(w io.Writer) { fmt.Fprintf(w, "accepted version %d, ID %s\n", v.Number, v.AcceptanceID) })
 }
 
-// withID names the ID to repeat the command with. A node that was lost in the
-// middle may have accepted as much as a platform that was.
-func withID(id string, err error) error {
+// withAcceptanceID adds the ID with which to run the command again. If the
+// connection to the node is lost during the request, the version may have been
+// accepted, so the outcome is reported as unknown.
+func withAcceptanceID(id string, err error) error {
 	if errors.Is(err, operator.ErrNoAnswer) {
 		err = acceptance.ErrUnknown.With("ID %s", id).Wrap(err)
 	}
@@ -72,7 +73,7 @@
 	return fmt.Errorf("acceptance ID %s: %w", id, err)
 }
 
-// exitStatus tells what an operator's script can do next.
+// exitStatus maps an error to the exit status on which a script decides its next step.
 func exitStatus(err error) int {
 	switch {
 	case errors.Is(err, acceptance.ErrUnknown):
@@ -80,11 +81,11 @@
 	case errors.Is(err, acceptance.ErrConflict), errors.Is(err, acceptance.ErrBase):
 		return exitConflict
 	default:
-		return exitFault
+		return exitFailure
 	}
 }
 
-func (f *common) printChanges(changes []settings.Change) error {
+func (f *commonFlags) printChanges(changes []settings.Change) error {
 	return f.print(changes, func(w io.Writer) {
 		for _, c := range changes {
 			fmt.Fprintln(w, c)
@@ -92,13 +93,13 @@
 	})
 }
 
-func addAccept(app *kingpin.Application, f *common) {
-	c := app.Command("accept", "Make a tree the accepted version.")
-	s := &submission{common: f}
+func addAccept(app *kingpin.Application, f *commonFlags) {
+	c := app.Command("accept", "Accept a tree as the new version.")
+	s := &submission{commonFlags: f}
 
 	c.Arg("file", "Tree, JSON with comments.").Required().StringVar(&s.request.File)
-	c.Flag("base", "Version that the tree was edited from; by default the one in force on the node.").Uint64Var(&s.request.Base)
-	s.add(c)
+	c.Flag("base", "Version on which the tree is based; by default the active version of the node.").Uint64Var(&s.request.Base)
+	s.register(c)
 	c.Action(action(func() error {
 		data, err := os.ReadFile(s.request.File)
 		if err != nil {
@@ -116,15 +117,15 @@
 
 		s.request.Tree = data
 		if s.request.Base == 0 {
-			s.request.Base = inForce(f.client())
+			s.request.Base = activeVersion(f.client())
 		}
 
 		return s.submit(context.Background())
 	}))
 }
 
-// printFaults prints every fault, not only the first, and fails if there is one.
-func (f *common) printFaults(faults []settings.Fault) error {
+// printFaults prints all faults of a tree and returns an error if there is one.
+func (f *commonFlags) printFaults(faults []settings.Fault) error {
 	if len(faults) == 0 {
 		return nil
 	}
@@ -141,31 +142,31 @@
 	return settings.ErrInvalid.With("%d faults", len(faults))
 }
 
-func inForce(c *operator.Client) uint64 {
-	now, err := c.Tree(context.Background())
+func activeVersion(c *operator.Client) uint64 {
+	current, err := c.Tree(context.Background())
 	if err != nil {
 		return 0
 	}
 
-	return now.Version.Number
+	return current.Version.Number
 }
 
-func addEdit(app *kingpin.Application, f *common) {
-	c := app.Command("edit", "Change values of one branch or route of the accepted tree, and accept it.")
-	s := &submission{common: f}
+func addEdit(app *kingpin.Application, f *commonFlags) {
+	c := app.Command("edit", "Change values of one branch or route of the accepted tree and accept the result.")
+	s := &submission{commonFlags: f}
 
 	path := c.Arg("path", "Branch or route, such as /midlands/ledger/upload.").Required().String()
-	texts := c.Arg("key=value", "Deadline=2s, Service.Slots=12, or Attempts= to inherit it again.").Required().Strings()
-	s.add(c)
+	texts := c.Arg("key=value", "Deadline=2s or Service.Slots=12 sets a value; Attempts= inherits it.").Required().Strings()
+	s.register(c)
 	c.Action(action(func() error {
 		ctx := context.Background()
 
-		now, err := f.client().Version(ctx, 0)
+		current, err := f.client().Version(ctx, 0)
 		if err != nil {
 			return err
 		}
 
-		tree, err := edited(now.Tree, *path, *texts)
+		tree, err := applyEdits(current.Tree, *path, *texts)
 		if err != nil {
 			return err
 		}
@@ -174,7 +175,7 @@
 			return err
 		}
 
-		s.request.File, s.request.Base = "edit", now.Version.Number
+		s.request.File, s.request.Base = "edit", current.Version.Number
 		if s.request.Tree, err = tree.Text(); err != nil {
 			return err
 		}
@@ -183,7 +184,7 @@
 	}))
 }
 
-func edited(tree settings.Tree, path string, texts []string) (settings.Tree, error) {
+func applyEdits(tree settings.Tree, path string, texts []string) (settings.Tree, error) {
 	edits := make([]settings.Edit, len(texts))
 
 	for i, text := range texts {
@@ -198,13 +199,13 @@
 
 var errDiff = errs.New("diff.what", http.StatusBadRequest, "name a file, or two versions with --from and --to")
 
-func addDiff(app *kingpin.Application, f *common) {
-	c := app.Command("diff", "Show what accepting a tree would change, or what changed between two versions.")
+func addDiff(app *kingpin.Application, f *commonFlags) {
+	c := app.Command("diff", "Show what accepting a tree would change, or the changes between two versions.")
 	file := c.Arg("file", "Tree, JSON with comments.").String()
-	from := c.Flag("from", "Version to start from; by default the one in force on the node.").Uint64()
-	to := c.Flag("to", "Version to compare with, in place of a file.").Uint64()
+	from := c.Flag("from", "Version to compare; by default the active version of the node.").Uint64()
+	to := c.Flag("to", "Version to compare with instead of a file.").Uint64()
 
-	f.add(c)
+	f.register(c)
 	c.Action(action(func() error {
 		if (*file == "") == (*to == 0) {
 			return errDiff
@@ -212,7 +213,7 @@
 
 		ctx := context.Background()
 
-		before, err := f.treeOf(ctx, *from)
+		before, err := f.fetchTree(ctx, *from)
 		if err != nil {
 			return err
 		}
@@ -222,7 +223,7 @@
 		if *file != "" {
 			after, err = loadTree(*file)
 		} else {
-			after, err = f.treeOf(ctx, *to)
+			after, err = f.fetchTree(ctx, *to)
 		}
 
 		if err != nil {
@@ -233,12 +234,12 @@
 	}))
 }
 
-// treeOf returns the tree of a version, or the one in force on the node.
-func (f *common) treeOf(ctx context.Context, number uint64) (settings.Tree, error) {
+// fetchTree returns the tree of a version; 0 means the active version of the node.
+func (f *commonFlags) fetchTree(ctx context.Context, number uint64) (settings.Tree, error) {
 	if number == 0 {
-		now, err := f.client().Tree(ctx)
+		current, err := f.client().Tree(ctx)
 
-		return now.Tree, err
+		return current.Tree, err
 	}
 
 	v, err := f.client().Version(ctx, number)
--- a/cmd/pollencart/accept_test.go
+++ b/cmd/pollencart/accept_test.go
@@ -24,15 +24,15 @@
 
 const example = "../../examples/midlands/tree.jsonc"
 
-// desk is an operator's command line on one node.
-type desk struct {
+// commandLine runs operator commands against one node and a stand-in of the platform.
+type commandLine struct {
 	*testing.T
 
 	node     string
 	platform *platform.Platform
 }
 
-func startDesk(t *testing.T) desk {
+func startNode(t *testing.T) commandLine {
 	t.Helper()
 
 	p := platform.New()
@@ -58,36 +58,36 @@
 	})
 	assert.NilError(t, harness.WaitOK(t.Context(), "http://"+c.ControlAddress+"/healthz"))
 
-	return desk{t, c.ControlAddress, p}
+	return commandLine{t, c.ControlAddress, p}
 }
 
-// run runs a command and returns what it printed.
-func (d desk) run(args ...string) (string, error) {
+// run runs a command and returns its output.
+func (cli commandLine) run(args ...string) (string, error) {
 	var out bytes.Buffer
 
-	_, err := newAppTo(&out).Parse(append(args, "--node", d.node))
+	_, err := newAppWithOutput(&out).Parse(append(args, "--node", cli.node))
 
 	return out.String(), err
 }
 
-func (d desk) ok(args ...string) string {
-	d.Helper()
+func (cli commandLine) mustRun(args ...string) string {
+	cli.Helper()
 
-	out, err := d.run(args...)
-	assert.NilError(d, err, "%v", args)
+	out, err := cli.run(args...)
+	assert.NilError(cli, err, "%v", args)
 
 	return out
 }
 
-func (d desk) first() {
-	d.Helper()
-	d.ok("accept", example, "--id", "first", "-m", "first")
-	assert.NilError(d, harness.WaitOK(d.Context(), "http://"+d.node+"/readyz"))
+func (cli commandLine) acceptFirstVersion() {
+	cli.Helper()
+	cli.mustRun("accept", example, "--id", "first", "-m", "first")
+	assert.NilError(cli, harness.WaitOK(cli.Context(), "http://"+cli.node+"/readyz"))
 }
 
-func TestOperatorsCommands(t *testing.T) {
-	d := startDesk(t)
-	d.first()
+func TestOperatorCommandOutput(t *testing.T) {
+	cli := startNode(t)
+	cli.acceptFirstVersion()
 
 	var b strings.Builder
 
@@ -105,7 +105,7 @@
 		{"show", "--version", "9"},
 		{"diff"},
 	} {
-		out, err := d.run(args...)
+		out, err := cli.run(args...)
 		b.WriteString("$ pollencart " + strings.Join(args, " ") + "\n" + out)
 
 		if err != nil {
@@ -116,12 +116,12 @@
 	golden.Assert(t, b.String(), "operator.golden")
 }
 
-// Scripts tell by the exit status what to do next: mend the tree, look at both
-// sides, or repeat the command with its ID.
-func TestExitStatusTellsWhatToDoNext(t *testing.T) {
-	d := startDesk(t)
-	d.first()
-	d.ok("edit", "/midlands/ledger", "Attempts=4")
+// Scripts decide by the exit status whether to correct the tree, resolve a
+// conflict or run the command again with the same ID.
+func TestExitStatusDistinguishesFailureConflictAndUnknownOutcome(t *testing.T) {
+	cli := startNode(t)
+	cli.acceptFirstVersion()
+	cli.mustRun("edit", "/midlands/ledger", "Attempts=4")
 
 	for _, c := range []struct {
 		args   []string
@@ -129,17 +129,17 @@
 		status int
 		is     error
 	}{
-		{[]string{"accept", "testdata/unknown-service.jsonc"}, platform.Faults{}, exitFault, settings.ErrInvalid},
+		{[]string{"accept", "testdata/unknown-service.jsonc"}, platform.Faults{}, exitFailure, settings.ErrInvalid},
 		{[]string{"accept", "testdata/conflict.jsonc", "--base", "1"}, platform.Faults{}, exitConflict, acceptance.ErrConflict},
-		{[]string{"accept", example, "--base", "2"}, platform.Faults{Down: true}, exitFault, acceptance.ErrOutage},
+		{[]string{"accept", example, "--base", "2"}, platform.Faults{Down: true}, exitFailure, acceptance.ErrOutage},
 		{
 			[]string{"accept", example, "--base", "2"},
 			platform.Faults{LoseAnswers: 1, SpareWrites: 1, DownAfterLoss: true}, exitUnknown, acceptance.ErrUnknown,
 		},
 	} {
-		d.platform.SetFaults(c.faults)
+		cli.platform.SetFaults(c.faults)
 
-		_, err := d.run(c.args...)
+		_, err := cli.run(c.args...)
 
 		var failed *commandError
 
@@ -149,9 +149,10 @@
 	}
 }
 
-// The node goes away while it accepts. Whether it did is not known, and "not
-// accepted" would be a guess.
-func TestNodeLostInTheMiddleIsUnknown(t *testing.T) {
+// A node that closes the connection during an acceptance may have accepted the
+// version, so the command must not report "not accepted". A refused connection
+// is a plain failure.
+func TestConnectionLostDuringAcceptIsUnknownOutcome(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	t.Cleanup(s.Close)
 
@@ -167,5 +168,5 @@
 	_, err = newApp().Parse([]string{"accept", example, "--base", "1", "--node", strings.TrimPrefix(s.URL, "http://")})
 	assert.Assert(t, errors.As(err, &failed))
 	assert.ErrorIs(t, failed.cause, operator.ErrNode)
-	assert.Equal(t, exitStatus(failed.cause), exitFault)
+	assert.Equal(t, exitStatus(failed.cause), exitFailure)
 }
--- a/cmd/pollencart/explain.go
+++ b/cmd/pollencart/explain.go
@@ -10,9 +10,9 @@
 )
 
 func addExplain(app *kingpin.Application, out io.Writer) {
-	c := app.Command("explain", "Walk from the ID of a failed call to its cause, over log files of nodes or standard input.")
-	id := c.Flag("request", "ID of the call. Without one: what all calls without success were lost to.").String()
-	files := c.Arg("log", "Log files; standard input without any.").ExistingFiles()
+	c := app.Command("explain", "Find the cause of a failed call in the log files of nodes.")
+	id := c.Flag("request", "ID of the call; without it, a summary of the causes of all failed calls.").String()
+	files := c.Arg("log", "Log files; standard input if none is given.").ExistingFiles()
 
 	c.Action(action(func() error {
 		logs := []io.Reader{os.Stdin}
--- a/cmd/pollencart/main.go
+++ b/cmd/pollencart/main.go
@@ -1,4 +1,4 @@
-// Command pollencart runs a node and is the operators' command line.
+// Command pollencart runs a node and provides the commands for operators.
 //
 //	pollencart node --settings node.jsonc
 //	pollencart accept tree.jsonc --node 127.0.0.1:8001
@@ -16,24 +16,24 @@
 
 // Exit statuses.
 const (
-	exitFault = 1 // the command was understood and did not succeed
-	exitUsage = 2 // the command line was not understood
-	// exitUnknown means that a version may have been accepted; the command is
-	// repeated with the ID that it printed.
+	exitFailure = 1 // the command failed
+	exitUsage   = 2 // the command line is invalid
+	// exitUnknown means that the version may have been accepted; running the
+	// command again with the ID that it printed gives the outcome.
 	exitUnknown = 3
-	// exitConflict means that another version has changed the same branches.
+	// exitConflict means that another accepted version changed the same branches.
 	exitConflict = 4
 )
 
-func newApp() *kingpin.Application { return newAppTo(os.Stdout) }
+func newApp() *kingpin.Application { return newAppWithOutput(os.Stdout) }
 
-// newAppTo returns the command line with its output elsewhere.
-func newAppTo(out io.Writer) *kingpin.Application {
+// newAppWithOutput returns an application that prints to out.
+func newAppWithOutput(out io.Writer) *kingpin.Application {
 	app := kingpin.New("pollencart", "Configuration distribution for a service mesh.")
 	app.HelpFlag.Short('h')
 
-	// kingpin's own flag of this name would be in the way of "show --version 7".
-	app.Command("version", "Print the version of the program; --version alone does the same.").
+	// A command, because kingpin's version flag would conflict with "show --version 7".
+	app.Command("version", "Print the version of the program, as the flag --version does.").
 		Action(action(func() error {
 			_, err := fmt.Fprintln(out, version)
 
@@ -68,14 +68,14 @@
 	os.Exit(exitUsage)
 }
 
-// commandError tells a command that did not succeed from a command line that
-// was not understood.
+// commandError marks the error of a command that ran and failed, as opposed to
+// an invalid command line.
 type commandError struct{ cause error }
 
 // Error implements error.
 func (e *commandError) Error() string { return e.cause.Error() }
 
-// action makes a kingpin action of a command.
+// action returns a kingpin action that wraps the error of run in a commandError.
 func action(run func() error) kingpin.Action {
 	return func(*kingpin.ParseContext) error {
 		if err := run(); err != nil {
--- a/cmd/pollencart/main_test.go
+++ b/cmd/pollencart/main_test.go
@@ -9,7 +9,7 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-func TestCommandLineThatIsNotUnderstood(t *testing.T) {
+func TestInvalidCommandLineIsUsageError(t *testing.T) {
 	for _, args := range [][]string{{"frobnicate"}, {"status", "--colour"}, {"node"}, {"status", "-o", "xml"}} {
 		_, err := newApp().Parse(args)
 		assert.Assert(t, err != nil, "%v", args)
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestCommandThatDoesNotSucceed(t *testing.T) {
+func TestFailedCheckIsCommandError(t *testing.T) {
 	_, err := newApp().Parse([]string{"check", "testdata/unknown-service.jsonc"})
 
 	var failed *commandError
--- a/cmd/pollencart/node.go
+++ b/cmd/pollencart/node.go
@@ -14,7 +14,7 @@
 )
 
 func addNode(app *kingpin.Application) {
-	c := app.Command("node", "Run the node on this host until SIGTERM, then drain.")
+	c := app.Command("node", "Run a node on this host; SIGTERM drains and stops it.")
 	file := c.Flag("settings", "Settings file, JSON with comments.").Required().String()
 
 	c.Action(action(func() error {
--- a/cmd/pollencart/node_test.go
+++ b/cmd/pollencart/node_test.go
@@ -17,11 +17,11 @@
 	"github.com/pollencart/pollencart/internal/harness"
 )
 
-// asProgram makes this binary run the program instead of its tests.
-const asProgram = "POLLENCART_TEST_PROGRAM"
+// runMainVariable is the environment variable that makes the test binary run main.
+const runMainVariable = "POLLENCART_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runMainVariable) != "" {
 		main()
 
 		return
@@ -30,8 +30,9 @@
 	os.Exit(m.Run())
 }
 
-// A signal that asks for the settings, or for the stop once more, must not end a node with its calls.
-func TestSignalsDoNotEndANodeAtOnce(t *testing.T) {
+// A SIGHUP, or a second SIGTERM while the node drains, must not terminate the
+// process: the calls in flight would be lost.
+func TestReloadAndRepeatedStopSignalsDoNotTerminateNode(t *testing.T) {
 	addresses, err := harness.FreeAddresses(3)
 	assert.NilError(t, err)
 
@@ -45,7 +46,7 @@
 	var log bytes.Buffer
 
 	cmd := exec.CommandContext(t.Context(), os.Args[0], "node", "--settings", file)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), runMainVariable+"=1")
 	cmd.Stderr = &log
 	assert.NilError(t, cmd.Start())
 
--- a/cmd/pollencart/operator.go
+++ b/cmd/pollencart/operator.go
@@ -18,8 +18,8 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// common holds the flags of all operator commands.
-type common struct {
+// commonFlags holds the flags that all operator commands share.
+type commonFlags struct {
 	node   string
 	output string
 
@@ -29,15 +29,15 @@
 	out io.Writer
 }
 
-func (f *common) add(c *kingpin.CmdClause) {
+func (f *commonFlags) register(c *kingpin.CmdClause) {
 	c.Flag("node", "Control address of any node.").Envar("POLLENCART_NODE").Default("127.0.0.1:8001").StringVar(&f.node)
 	c.Flag("token", "Operators' token.").Envar("POLLENCART_TOKEN").StringVar(&f.token)
-	c.Flag("authority", "Connect with TLS to a node whose certificate comes from this file.").
+	c.Flag("authority", "File with the CA certificates; connect with TLS and verify the certificate of the node.").
 		Envar("POLLENCART_AUTHORITY").StringVar(&f.authority)
-	c.Flag("output", "Form of the output.").Short('o').Default("text").EnumVar(&f.output, "text", "json")
+	c.Flag("output", "Output format.").Short('o').Default("text").EnumVar(&f.output, "text", "json")
 }
 
-func (f *common) client() *operator.Client {
+func (f *commonFlags) client() *operator.Client {
 	var opts []operator.ClientOption
 
 	if f.token != "" {
@@ -47,7 +47,7 @@
 	if f.authority != "" {
 		pool := x509.NewCertPool()
 		if data, err := os.ReadFile(f.authority); err == nil {
-			pool.AppendCertsFromPEM(data) // without a certificate no node is trusted
+			pool.AppendCertsFromPEM(data) // with an empty pool, verification fails for every node
 		}
 
 		opts = append(opts, operator.WithTLS(&tls.Config{
@@ -58,8 +58,8 @@
 	return operator.NewClient(f.node, opts...)
 }
 
-// print writes v as JSON, or by the function as text.
-func (f *common) print(v any, text func(w io.Writer)) error {
+// print writes v as JSON or calls text, depending on the output flag.
+func (f *commonFlags) print(v any, text func(w io.Writer)) error {
 	if f.output == "json" {
 		enc := json.NewEncoder(f.out)
 		enc.SetIndent("", "  ")
@@ -74,20 +74,20 @@
 }
 
 func addOperator(app *kingpin.Application, out io.Writer) {
-	f := &common{out: out}
+	f := &commonFlags{out: out}
 
-	for _, add := range []func(*kingpin.Application, *common){
+	for _, add := range []func(*kingpin.Application, *commonFlags){
 		addCheck, addDiff, addAccept, addEdit, addShow, addHistory, addStatus, addTimeline,
 	} {
 		add(app, f)
 	}
 }
 
-func addCheck(app *kingpin.Application, f *common) {
-	c := app.Command("check", "Check a tree and print every fault.")
+func addCheck(app *kingpin.Application, f *commonFlags) {
+	c := app.Command("check", "Check a tree and print all faults.")
 	file := c.Arg("file", "Tree, JSON with comments.").Required().String()
 
-	f.add(c)
+	f.register(c)
 	c.Action(action(func() error {
 		tree, err := loadTree(*file)
 		if err != nil {
@@ -112,10 +112,10 @@
 	return settings.Parse(file, data)
 }
 
-func addHistory(app *kingpin.Application, f *common) {
+func addHistory(app *kingpin.Application, f *commonFlags) {
 	c := app.Command("history", "List the accepted versions, newest first.")
 
-	f.add(c)
+	f.register(c)
 	c.Action(action(func() error {
 		versions, err := f.client().History(context.Background())
 		if err != nil {
--- a/cmd/pollencart/show.go
+++ b/cmd/pollencart/show.go
@@ -12,33 +12,33 @@
 	"github.com/pollencart/pollencart/internal/operator"
 )
 
-func addShow(app *kingpin.Application, f *common) {
-	c := app.Command("show", "Print the tree in force on the node, or another accepted one.")
+func addShow(app *kingpin.Application, f *commonFlags) {
+	c := app.Command("show", "Print the active tree of the node, or the tree of an accepted version.")
 	number := c.Flag("version", "Accepted version to print.").Uint64()
-	path := c.Flag("explain", "Print the values at this branch or route, and from which node of the tree each comes.").String()
+	path := c.Flag("explain", "Print the values of this branch or route and the branch from which each is inherited.").String()
 
-	f.add(c)
+	f.register(c)
 	c.Action(action(func() error {
-		shown, err := f.shown(context.Background(), *number)
+		versionTree, err := f.versionTree(context.Background(), *number)
 		if err != nil {
 			return err
 		}
 
 		if *path != "" {
-			return f.explain(shown, *path)
+			return f.printOrigins(versionTree, *path)
 		}
 
-		return f.print(shown, func(w io.Writer) {
-			fmt.Fprintf(w, "// version %d, accepted %s\n", shown.Version.Number, shown.Version.AcceptedAt.Format(time.RFC3339))
+		return f.print(versionTree, func(w io.Writer) {
+			fmt.Fprintf(w, "// version %d, accepted %s\n", versionTree.Version.Number, versionTree.Version.AcceptedAt.Format(time.RFC3339))
 
 			enc := json.NewEncoder(w)
 			enc.SetIndent("", "  ")
-			_ = enc.Encode(shown.Tree)
+			_ = enc.Encode(versionTree.Tree)
 		})
 	}))
 }
 
-func (f *common) shown(ctx context.Context, number uint64) (operator.TreeText, error) {
+func (f *commonFlags) versionTree(ctx context.Context, number uint64) (operator.TreeText, error) {
 	if number == 0 {
 		return f.client().Tree(ctx)
 	}
@@ -46,8 +46,8 @@
 	return f.client().Version(ctx, number)
 }
 
-func (f *common) explain(shown operator.TreeText, path string) error {
-	origins, err := shown.Tree.Explain(path)
+func (f *commonFlags) printOrigins(versionTree operator.TreeText, path string) error {
+	origins, err := versionTree.Tree.Explain(path)
 	if err != nil {
 		return err
 	}
--- a/cmd/pollencart/sidecar.go
+++ b/cmd/pollencart/sidecar.go
@@ -15,9 +15,9 @@
 )
 
 func addSidecar(app *kingpin.Application) {
-	c := app.Command("sidecar", "Run the node beside a backend server on the users' platform until SIGTERM, then drain.")
+	c := app.Command("sidecar", "Run a sidecar node on the host of a backend server; SIGTERM drains and stops it.")
 	file := c.Flag("settings", "Settings file, JSON with comments.").Required().String()
-	check := c.Flag("check", "Only check the settings file.").Bool()
+	check := c.Flag("check", "Check the settings file and exit.").Bool()
 
 	c.Action(action(func() error {
 		conf, err := config.Load(*file)
--- a/cmd/pollencart/status.go
+++ b/cmd/pollencart/status.go
@@ -11,18 +11,18 @@
 	"github.com/pollencart/pollencart/internal/operator"
 )
 
-// statusReport is a status with what an operator asks next: who is slowest.
+// statusReport is the status of all nodes with the slowest nodes.
 type statusReport struct {
 	operator.Status
 
 	Slowest []operator.Delay `json:"Slowest"`
 }
 
-func addStatus(app *kingpin.Application, f *common) {
-	c := app.Command("status", "Show on how many nodes the newest version is in force, and which are slowest and why.")
-	slowest := c.Flag("slowest", "How many of the slowest nodes to name.").Default("3").Int()
+func addStatus(app *kingpin.Application, f *commonFlags) {
+	c := app.Command("status", "Show on how many nodes the newest version is active, and which nodes are slowest and why.")
+	slowest := c.Flag("slowest", "Number of slowest nodes to print.").Default("3").Int()
 
-	f.add(c)
+	f.register(c)
 	c.Action(action(func() error {
 		s, err := f.client().Status(context.Background())
 		if err != nil {
--- a/cmd/pollencart/status_test.go
+++ b/cmd/pollencart/status_test.go
@@ -12,13 +12,13 @@
 	"github.com/pollencart/pollencart/internal/operator"
 )
 
-// An operator who waits on a version has to see which node holds it up and why,
-// without reading a table of thousands.
-func TestStatusNamesTheSlowestAndWhy(t *testing.T) {
+// With thousands of nodes, the table alone does not show which nodes delay a
+// version and why; the lines above it must.
+func TestStatusReportsSlowestNodesAndCauses(t *testing.T) {
 	at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	node := func(id string, version uint64, after time.Duration, belief membership.State) operator.NodeStatus {
+	node := func(id string, version uint64, after time.Duration, state membership.State) operator.NodeStatus {
 		return operator.NodeStatus{
-			ID: id, FailureDomain: "derby", MemberState: belief.String(), Version: version, AcceptedAt: at,
+			ID: id, FailureDomain: "derby", MemberState: state.String(), Version: version, AcceptedAt: at,
 			ActiveSince: at.Add(after), Source: "127.0.0.1:7000",
 		}
 	}
--- a/cmd/pollencart/timeline.go
+++ b/cmd/pollencart/timeline.go
@@ -13,10 +13,10 @@
 	"github.com/pollencart/pollencart/internal/timeline/page"
 )
 
-// defaultLimit is how many entries each node gives without --limit.
+// defaultLimit is the default number of entries per node.
 const defaultLimit = "1000"
 
-func addTimeline(app *kingpin.Application, f *common) {
+func addTimeline(app *kingpin.Application, f *commonFlags) {
 	c := app.Command("timeline", "Print the merged events of all nodes.")
 
 	var (
@@ -26,16 +26,16 @@
 		html   string
 	)
 
-	c.Flag("call", "Only this call.").StringVar(&filter.Call)
-	c.Flag("key", "Only this idempotency key.").StringVar(&filter.Key)
-	c.Flag("of", "Only this version.").Uint64Var(&filter.Version)
-	c.Flag("on", "Only what this node tells and what others tell of it.").StringVar(&filter.Node)
-	c.Flag("event", "Only this event, by name or number.").StringVar(&filter.Event)
-	c.Flag("since", "Only the last while.").DurationVar(&since)
-	c.Flag("limit", "The newest so many of each node.").Default(defaultLimit).IntVar(&filter.Limit)
-	c.Flag("all", "Don't join what many nodes tell of the same happening.").BoolVar(&all)
-	c.Flag("html", "Write one HTML page with a lane for each node to this file.").StringVar(&html)
-	f.add(c)
+	c.Flag("call", "Only events of the call with this ID.").StringVar(&filter.Call)
+	c.Flag("key", "Only events of this idempotency key.").StringVar(&filter.Key)
+	c.Flag("of", "Only events of this version.").Uint64Var(&filter.Version)
+	c.Flag("on", "Only events that this node reports or that other nodes report about it.").StringVar(&filter.Node)
+	c.Flag("event", "Only events of this kind, by name or number.").StringVar(&filter.Event)
+	c.Flag("since", "Only events of this last period, such as 10m.").DurationVar(&since)
+	c.Flag("limit", "Maximum number of events per node; the newest are printed.").Default(defaultLimit).IntVar(&filter.Limit)
+	c.Flag("all", "Don't merge entries in which several nodes report the same event.").BoolVar(&all)
+	c.Flag("html", "Write an HTML page with one lane per node to this file.").StringVar(&html)
+	f.register(c)
 	c.Action(action(func() error {
 		if since > 0 {
 			filter.SinceMs = time.Now().Add(-since).UnixMilli()
