--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,8 +1,8 @@
-// Package platform is the key-value service of the platform as the rest of the
-// program sees it: compare-and-swap, leases and watches.
+// Package platform defines the interface to the key-value store of the platform:
+// compare-and-swap, leases and watches.
 //
-// Everything that must be agreed or kept goes through it. The implementation is
-// in the subfolder etcd.
+// All state that needs consensus or durability is kept in this store. Package
+// etcd implements the interface.
 //
 //	entry, err := store.Get(ctx, "/pollencart/head")
 //	revision, err := store.Swap(ctx, "/pollencart/head", entry.Revision, value)
@@ -16,15 +16,15 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Limits of the platform.
+// Limits of the store.
 const (
-	// MaxValue is the limit for one value.
+	// MaxValue is the maximum size of a value in bytes.
 	MaxValue = 1 << 20
-	// MaxOps is the limit of keys in one call.
+	// MaxOps is the maximum number of keys in one call.
 	MaxOps = 128
 )
 
-// Errors of a call to the platform.
+// Errors of a call to the store.
 var (
 	ErrNotFound = errs.New("platform.not_found", http.StatusNotFound, "no such key")
 	ErrConflict = errs.New("platform.conflict", http.StatusConflict, "the key was changed since it was read")
@@ -40,42 +40,44 @@
 	Key      string
 	Value    []byte
 	Revision int64
-	// Lease binds a written entry to a lease; it is not read back.
+	// Lease is the lease to which a write binds the key; reads leave it empty.
 	Lease Lease
 }
 
-// Lease is a time-bounded claim.
+// Lease is the ID of a lease; keys bound to it are deleted when it expires.
 type Lease int64
 
-// Store is the key-value service.
+// Store is the key-value store.
 type Store interface {
-	// Get returns ErrNotFound for a key that is not there.
+	// Get returns ErrNotFound if the key does not exist.
 	Get(ctx context.Context, key string) (Entry, error)
-	// GetMany returns the entries of the keys that are there, as of one moment,
-	// in one call; at most MaxOps keys.
+	// GetMany returns the entries of the existing keys from one snapshot of the
+	// store, in one call; at most MaxOps keys.
 	GetMany(ctx context.Context, keys ...string) (map[string]Entry, error)
-	// PutMany writes all entries in one call, whatever is there. It is for
-	// values addressed by their digest, where writing twice changes nothing.
+	// PutMany writes all entries in one call without comparing revisions. It is
+	// meant for content-addressed values, for which writing is idempotent.
 	PutMany(ctx context.Context, entries ...Entry) error
-	// List returns the entries whose keys start with the prefix.
+	// List returns the entries whose keys start with prefix.
 	List(ctx context.Context, prefix string) ([]Entry, error)
-	// Swap writes the value if the key still has the revision; 0 means that the
-	// key is not there. It returns the new revision, ErrConflict or ErrUnknown.
+	// Swap writes the value if the key still has the given revision; revision 0
+	// means that the key must not exist. It returns the new revision, or
+	// ErrConflict if the revision differs. After ErrUnknown, the write may have
+	// taken effect.
 	Swap(ctx context.Context, key string, revision int64, value []byte, opts ...PutOption) (int64, error)
-	// Watch sends the entry now and after each change until ctx ends; the
-	// channel is closed when the connection is lost.
+	// Watch sends the current entry and the entry after each change until ctx
+	// ends. It closes the channel when the connection is lost.
 	Watch(ctx context.Context, key string, from int64) (<-chan Entry, error)
-	// Grant makes a lease, KeepAlive renews it.
+	// Grant creates a lease; KeepAlive renews it.
 	Grant(ctx context.Context, ttl time.Duration) (Lease, error)
 	KeepAlive(ctx context.Context, l Lease) error
 }
 
-// PutOptions of a write.
+// PutOptions are the options of a write.
 type PutOptions struct {
 	Lease Lease
-	// Also are written in the same transaction, if the swap takes effect.
+	// Also are entries to write in the same transaction if the swap succeeds.
 	Also []Entry
-	// Drop are deleted in the same transaction.
+	// Drop are keys to delete in the same transaction.
 	Drop []string
 }
 
@@ -85,7 +87,7 @@
 // WithLease binds the key to a lease.
 func WithLease(l Lease) PutOption { return func(o *PutOptions) { o.Lease = l } }
 
-// Also writes other keys in the same transaction: all or none.
+// Also writes other entries in the same transaction.
 func Also(entries ...Entry) PutOption {
 	return func(o *PutOptions) { o.Also = append(o.Also, entries...) }
 }
