--- a/internal/platform/etcd/etcd.go
+++ b/internal/platform/etcd/etcd.go
@@ -1,4 +1,4 @@
-// Package etcd speaks the JSON form of the etcd v3 gateway to the platform.
+// Package etcd implements platform.Store as a client of the JSON gateway of etcd v3.
 //
 //	store := etcd.New(etcd.Endpoints("http://127.0.0.1:2379"))
 package etcd
@@ -17,29 +17,29 @@
 	"github.com/pollencart/pollencart/internal/platform"
 )
 
-// Store implements platform.Store over HTTP.
+// Store implements platform.Store over HTTP. It is safe for concurrent use.
 type Store struct {
-	options Options
-	http    *http.Client
-	next    atomic.Uint32
+	options       Options
+	http          *http.Client
+	endpointIndex atomic.Uint32
 
-	// Calls counts the calls that this process made.
+	// Calls counts the requests sent by this store.
 	Calls atomic.Int64
 }
 
 var _ platform.Store = (*Store)(nil)
 
-// New returns a store; it connects when it is used.
+// New returns a store that connects on first use.
 func New(opts ...Option) *Store {
 	o := newOptions(opts...)
 
 	return &Store{options: o, http: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: o.Timeout}).DialContext,
-		MaxIdleConnsPerHost: maxIdle,
+		MaxIdleConnsPerHost: maxIdleConns,
 	}}}
 }
 
-const maxIdle = 4
+const maxIdleConns = 4
 
 // Get implements platform.Store.
 func (s *Store) Get(ctx context.Context, key string) (platform.Entry, error) {
@@ -52,7 +52,7 @@
 		return platform.Entry{}, platform.ErrNotFound.With("%s", key)
 	}
 
-	return entryOf(out.Kvs[0]), nil
+	return toEntry(out.Kvs[0]), nil
 }
 
 // List implements platform.Store.
@@ -67,13 +67,13 @@
 
 	entries := make([]platform.Entry, 0, len(out.Kvs))
 	for _, kv := range out.Kvs {
-		entries = append(entries, entryOf(kv))
+		entries = append(entries, toEntry(kv))
 	}
 
 	return entries, nil
 }
 
-func entryOf(kv keyValue) platform.Entry {
+func toEntry(kv keyValue) platform.Entry {
 	return platform.Entry{Key: string(kv.Key), Value: kv.Value, Revision: kv.ModRevision}
 }
 
@@ -86,13 +86,13 @@
 		opt(&o)
 	}
 
-	puts, err := putsOf(append([]platform.Entry{{Key: key, Value: value, Lease: o.Lease}}, o.Also...))
+	puts, err := putOps(append([]platform.Entry{{Key: key, Value: value, Lease: o.Lease}}, o.Also...))
 	if err != nil {
 		return 0, err
 	}
 
 	for _, drop := range o.Drop {
-		puts = append(puts, requestOp{RequestDrop: &rangeRequest{Key: []byte(drop)}})
+		puts = append(puts, requestOp{RequestDelete: &rangeRequest{Key: []byte(drop)}})
 	}
 
 	in := txnRequest{
@@ -136,7 +136,7 @@
 		}
 
 		for _, kv := range r.ResponseRange.Kvs {
-			found[string(kv.Key)] = entryOf(kv)
+			found[string(kv.Key)] = toEntry(kv)
 		}
 	}
 
@@ -145,7 +145,7 @@
 
 // PutMany implements platform.Store.
 func (s *Store) PutMany(ctx context.Context, entries ...platform.Entry) error {
-	puts, err := putsOf(entries)
+	puts, err := putOps(entries)
 	if err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 	return s.call(ctx, "/v3/kv/txn", txnRequest{Success: puts}, &out)
 }
 
-func putsOf(entries []platform.Entry) ([]requestOp, error) {
+func putOps(entries []platform.Entry) ([]requestOp, error) {
 	if len(entries) > platform.MaxOps {
 		return nil, platform.ErrTooLarge.With("%d keys, limit %d", len(entries), platform.MaxOps)
 	}
@@ -201,7 +201,7 @@
 func (s *Store) Watch(ctx context.Context, key string, from int64) (<-chan platform.Entry, error) {
 	in := watchRequest{CreateRequest: watchCreate{Key: []byte(key), StartRevision: from}}
 
-	resp, err := s.post(ctx, "/v3/watch", in) //nolint:bodyclose // forward's goroutine closes it
+	resp, err := s.post(ctx, "/v3/watch", in) //nolint:bodyclose // closed by the goroutine below
 	if err != nil {
 		return nil, err
 	}
@@ -212,13 +212,13 @@
 		defer close(out)
 		defer func() { _ = resp.Body.Close() }()
 
-		forward(ctx, json.NewDecoder(resp.Body), out)
+		forwardEvents(ctx, json.NewDecoder(resp.Body), out)
 	}()
 
 	return out, nil
 }
 
-func forward(ctx context.Context, dec *json.Decoder, out chan<- platform.Entry) {
+func forwardEvents(ctx context.Context, dec *json.Decoder, out chan<- platform.Entry) {
 	for {
 		var r watchResponse
 		if err := dec.Decode(&r); err != nil {
@@ -227,7 +227,7 @@
 
 		for _, e := range r.Result.Events {
 			select {
-			case out <- entryOf(e.Kv):
+			case out <- toEntry(e.Kv):
 			case <-ctx.Done():
 				return
 			}
@@ -268,33 +268,34 @@
 
 	resp, err := s.http.Do(req)
 	if err != nil {
-		s.next.Add(1)
+		s.endpointIndex.Add(1)
 
 		return nil, classify(err)
 	}
 
 	if resp.StatusCode != http.StatusOK {
-		detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxDetail))
+		detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 		_ = resp.Body.Close()
 
-		return nil, refusal(resp.StatusCode, string(detail))
+		return nil, statusError(resp.StatusCode, string(detail))
 	}
 
 	return resp, nil
 }
 
-const maxDetail = 512
+const maxErrorBytes = 512
 
 func (s *Store) endpoint() string {
 	if len(s.options.Endpoints) == 0 {
 		return "http://127.0.0.1:0"
 	}
 
-	return s.options.Endpoints[int(s.next.Load())%len(s.options.Endpoints)]
+	return s.options.Endpoints[int(s.endpointIndex.Load())%len(s.options.Endpoints)]
 }
 
-// classify tells calls that never left from calls that may have taken effect. A
-// writer that took a lost answer for a failure would accept a version twice.
+// classify distinguishes requests that were not sent from requests that may have
+// taken effect. If a lost answer were reported as a failure, the caller would
+// retry and accept a version twice.
 func classify(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -304,7 +305,7 @@
 	return platform.ErrUnknown.Wrap(err)
 }
 
-func refusal(status int, detail string) error {
+func statusError(status int, detail string) error {
 	if status == http.StatusRequestEntityTooLarge {
 		return platform.ErrTooLarge.With("%s", detail)
 	}
--- a/internal/platform/etcd/etcd_test.go
+++ b/internal/platform/etcd/etcd_test.go
@@ -21,7 +21,7 @@
 	return p, etcd.New(etcd.Endpoints(s.URL))
 }
 
-func TestSwapTakesOnlyTheRevisionThatWasRead(t *testing.T) {
+func TestSwapWritesOnlyIfRevisionIsUnchanged(t *testing.T) {
 	_, s := start(t)
 
 	first, err := s.Swap(t.Context(), "/k", 0, []byte("one"))
@@ -38,7 +38,7 @@
 	assert.Equal(t, string(e.Value), "two")
 }
 
-func TestValueOverTheLimitIsRefusedBeforeItIsSent(t *testing.T) {
+func TestOversizedValueIsRejectedBeforeItIsSent(t *testing.T) {
 	p, s := start(t)
 
 	_, err := s.Swap(t.Context(), "/big", 0, make([]byte, platform.MaxValue+1))
@@ -47,9 +47,9 @@
 	assert.Equal(t, p.Counts().Writes, int64(0))
 }
 
-// The platform takes a write and its answer is lost on the way. A client that
-// reported a failure would lead the operator to accept the version twice.
-func TestLostAnswerIsUnknownAndOutageIsNot(t *testing.T) {
+// The store applies a write and its answer is lost. If the client reported a
+// failure, the operator would accept the version twice.
+func TestLostAnswerIsUnknownOutcomeAndOutageIsUnavailable(t *testing.T) {
 	p, s := start(t)
 
 	p.SetFaults(standin.Faults{LoseAnswers: 1})
@@ -67,7 +67,7 @@
 	assert.ErrorIs(t, err, platform.ErrUnavailable)
 }
 
-func TestWatchSendsTheValueNowAndEachChange(t *testing.T) {
+func TestWatchSendsCurrentValueAndEachChange(t *testing.T) {
 	_, s := start(t)
 
 	revision, err := s.Swap(t.Context(), "/k", 0, []byte("one"))
--- a/internal/platform/etcd/options.go
+++ b/internal/platform/etcd/options.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// DefaultTimeout bounds one call: the platform answers in milliseconds.
+// DefaultTimeout is the default timeout of one call. The store normally answers
+// within milliseconds.
 const DefaultTimeout = 3 * time.Second
 
-// Options of a store.
+// Options are the options of a store.
 type Options struct {
 	Endpoints []string
 	Timeout   time.Duration
@@ -23,8 +24,9 @@
 	return o
 }
 
-// Endpoints sets the base URLs.
+// Endpoints sets the base URLs. A request that gets no
+// response moves the store on to the next URL.
 func Endpoints(urls ...string) Option { return func(o *Options) { o.Endpoints = urls } }
 
-// Timeout bounds one call.
+// Timeout sets the timeout of one call.
 func Timeout(d time.Duration) Option { return func(o *Options) { o.Timeout = d } }
--- a/internal/platform/etcd/wire.go
+++ b/internal/platform/etcd/wire.go
@@ -1,7 +1,7 @@
 package etcd
 
-// The messages of the published JSON gateway, the subset that is used here.
-// 64-bit numbers travel as strings, keys and values as base64.
+// The messages of the JSON gateway of etcd v3, as far as this package uses them.
+// 64-bit numbers are encoded as strings, keys and values as base64.
 
 type rangeRequest struct {
 	Key      []byte `json:"key"`
@@ -32,9 +32,9 @@
 }
 
 type requestOp struct {
-	RequestPut   *putRequest   `json:"request_put,omitempty"`
-	RequestRange *rangeRequest `json:"request_range,omitempty"`
-	RequestDrop  *rangeRequest `json:"request_delete_range,omitempty"`
+	RequestPut    *putRequest   `json:"request_put,omitempty"`
+	RequestRange  *rangeRequest `json:"request_range,omitempty"`
+	RequestDelete *rangeRequest `json:"request_delete_range,omitempty"`
 }
 
 type responseOp struct {
