--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,14 +1,14 @@
-// Package event is the catalogue of numbered events.
+// Package event defines the catalogue of numbered events.
 //
-// Every log line and every entry of the time line names one of these. Numbers
-// are never used again; docs/EVENTS.md lists them for operators.
+// Every log line and every timeline entry names one of these events. A number is
+// never reused; docs/EVENTS.md lists all events for operators.
 //
 //	recorder.Record(event.VersionInForce, timeline.Entry{Version: 7})
 package event
 
 import "log/slog"
 
-// Event is one kind of thing that a node tells about.
+// Event is a kind of event that a node logs and records in its timeline.
 type Event struct {
 	Number int
 	Name   string
@@ -16,123 +16,129 @@
 	Text   string
 }
 
-// Node life.
+// Node lifecycle.
 var (
-	NodeStarted   = add(100, "NodeStarted", slog.LevelInfo, "The process listens on its addresses.")
-	NodeReady     = add(101, "NodeReady", slog.LevelInfo, "The node holds a version and takes calls.")
-	NodeDraining  = add(102, "NodeDraining", slog.LevelInfo, "A planned stop began; nothing new is let in.")
-	NodeStopped   = add(103, "NodeStopped", slog.LevelInfo, "The process ends; nothing is in flight.")
-	NodeFailed    = add(104, "NodeFailed", slog.LevelError, "The process could not start or go on.")
-	NodePaused    = add(105, "NodePaused", slog.LevelWarn, "The process stood still, as on a frozen host; those it suspects get their time anew.")
-	NodeCutsOff   = add(110, "NodeCutsOff", slog.LevelWarn, "A planned stop ran out of time; the detail says what it leaves unfinished.")
+	NodeStarted  = add(100, "NodeStarted", slog.LevelInfo, "The process listens on its addresses.")
+	NodeReady    = add(101, "NodeReady", slog.LevelInfo, "The node has a stored version and accepts calls.")
+	NodeDraining = add(102, "NodeDraining", slog.LevelInfo, "A planned stop began; nothing new is let in.")
+	NodeStopped  = add(103, "NodeStopped", slog.LevelInfo, "The process ends; nothing is in flight.")
+	NodeFailed   = add(104, "NodeFailed", slog.LevelError, "The process could not start or continue.")
+	NodePaused   = add(105, "NodePaused", slog.LevelWarn,
+		"The process stalled, for example because its host was paused; its suspicion timeouts start again.")
+	NodeCutsOff   = add(110, "NodeCutsOff", slog.LevelWarn, "A graceful shutdown reached its time limit; the detail lists the unfinished work.")
 	NodeDrainStep = add(111, "NodeDrainStep", slog.LevelInfo,
-		"A planned stop takes its next step; the detail says which, and what it still waits for.")
-	SettingsRead    = add(107, "SettingsRead", slog.LevelInfo, "The settings file was read again; the detail says what changed.")
+		"A graceful shutdown entered its next step; the detail names the step and what it waits for.")
+	SettingsRead    = add(107, "SettingsRead", slog.LevelInfo, "The settings file was reloaded; the detail lists the changes.")
 	SettingsRefused = add(108, "SettingsRefused", slog.LevelError,
-		"The settings file was read again and is not accepted, or changes what only a restart can; the old settings hold.")
+		"The reloaded settings file is invalid, or changes a key that requires a restart; the previous settings stay active.")
 	LinesLeftOut = add(109, "LinesLeftOut", slog.LevelInfo,
-		"Log lines were left out, since nobody read them (Unread) or there were too many of their level (Sampled); counted from the start.")
-	FaultsInjected = add(106, "FaultsInjected", slog.LevelWarn, "An experiment cut or mended links of this node.")
+		"Log lines were dropped because the reader stalled (Unread) or their level exceeded its rate limit (Sampled); totals since process start.")
+	FaultsInjected = add(106, "FaultsInjected", slog.LevelWarn, "An experiment cut or restored links of this node.")
 )
 
-// Settings.
+// Settings and the platform that stores them.
 var (
-	VersionAccepted = add(200, "VersionAccepted", slog.LevelInfo, "An operator's version was accepted on the platform.")
+	VersionAccepted = add(200, "VersionAccepted", slog.LevelInfo, "The platform accepted a version from an operator.")
 	VersionInForce  = add(201, "VersionInForce", slog.LevelInfo, "The node answers with this version from now on.")
 	VersionRefused  = add(202, "VersionRefused", slog.LevelError,
-		"The node was offered a version that does not check; it holds the old one whole.")
-	VersionOlder = add(203, "VersionOlder", slog.LevelWarn, "The node was offered a version lower than its own and did not take it.")
+		"The node received a version that fails validation; the current version stays active.")
+	VersionOlder = add(203, "VersionOlder", slog.LevelWarn, "The node ignored a version that is lower than its current version.")
 	VersionLost  = add(204, "VersionLost", slog.LevelError,
-		"Two versions were accepted on different copies of the platform and changed the same branches; "+
-			"this one could not be kept, accept it again.")
-	PlatformLost     = add(210, "PlatformLost", slog.LevelWarn, "The platform can't be reached; the node goes on with what it holds.")
-	PlatformBack     = add(211, "PlatformBack", slog.LevelInfo, "The platform answers again.")
+		"Different copies of the platform accepted two versions that change the same branches; "+
+			"this version was discarded, accept it again.")
+	PlatformLost     = add(210, "PlatformLost", slog.LevelWarn, "The platform is unreachable; the node continues with its stored version.")
+	PlatformBack     = add(211, "PlatformBack", slog.LevelInfo, "The platform is reachable again.")
 	PlatformRepaired = add(212, "PlatformRepaired", slog.LevelWarn,
-		"The platform came back from an older copy and was given back the version that this node holds.")
+		"The platform was restored from an older copy; this node wrote its stored version back.")
 	EntryDoubted = add(213, "EntryDoubted", slog.LevelWarn,
-		"An entry of the store can't be read or names nobody, or an answer has no epoch that can be read; it is left out, and told once.")
+		"A store entry is invalid or names no node, or a response has no valid epoch; the node ignores it and logs this once.")
 	StoreRestored = add(214, "StoreRestored", slog.LevelWarn,
-		"The store came back from an older copy; what was written there since is gone. "+
-			"The detail has the epochs now and before, and the highest revisions that this node knows of them.")
+		"The store was restored from an older copy and lost the writes made since that copy. "+
+			"The detail has the current and previous epochs, and the highest revision that this node knows of each.")
 	PlatformRewritten = add(215, "PlatformRewritten", slog.LevelInfo,
-		"The platform's store came back from an older copy, and this node wrote there again what others must find; the detail says what.")
+		"The platform's store was restored from an older copy; this node rewrote the records that other nodes need; the detail lists them.")
 )
 
-// Fleet.
+// Fleet membership.
 var (
-	MemberJoined   = add(300, "MemberJoined", slog.LevelInfo, "A node became known.")
-	MemberSuspect  = add(301, "MemberSuspect", slog.LevelWarn, "A node did not answer and is suspected.")
-	MemberDead     = add(302, "MemberDead", slog.LevelWarn, "A suspected node did not refute in time and is taken for dead.")
-	MemberLeft     = add(303, "MemberLeft", slog.LevelInfo, "A node left by itself.")
-	MemberRefuted  = add(304, "MemberRefuted", slog.LevelInfo, "The node was suspected by others and refuted it with a higher incarnation.")
-	MemberCleared  = add(305, "MemberCleared", slog.LevelInfo, "A suspected node was heard of again and is no longer suspected.")
-	MemberReplaced = add(306, "MemberReplaced", slog.LevelWarn, "A later process has this node's ID at another address; this one gives way.")
-	UpstreamJoined = add(310, "UpstreamJoined", slog.LevelInfo, "The backend server on this host announced itself.")
-	UpstreamState  = add(311, "UpstreamState", slog.LevelInfo, "The backend server on this host changed its state.")
+	MemberJoined  = add(300, "MemberJoined", slog.LevelInfo, "A node became known.")
+	MemberSuspect = add(301, "MemberSuspect", slog.LevelWarn, "A node did not answer and is suspected.")
+	MemberDead    = add(302, "MemberDead", slog.LevelWarn, "A suspected node did not refute in time and is taken for dead.")
+	MemberLeft    = add(303, "MemberLeft", slog.LevelInfo, "A node left voluntarily.")
+	MemberRefuted = add(304, "MemberRefuted", slog.LevelInfo,
+		"Other nodes suspected this node; it refuted the suspicion with a higher incarnation.")
+	MemberCleared  = add(305, "MemberCleared", slog.LevelInfo, "A suspected node responded and is no longer suspected.")
+	MemberReplaced = add(306, "MemberReplaced", slog.LevelWarn,
+		"A newer process uses this node's ID at another address; this process yields the ID.")
+	UpstreamJoined = add(310, "UpstreamJoined", slog.LevelInfo, "The local backend server announced itself.")
+	UpstreamState  = add(311, "UpstreamState", slog.LevelInfo, "The local backend server changed its state.")
 	UpstreamBroke  = add(318, "UpstreamBroke", slog.LevelWarn,
-		"A call ended without an answer of the backend server: it was given up, or its connection broke; "+
-			"the detail says which, and whether the address takes connections.")
-	UpstreamLost = add(312, "UpstreamLost", slog.LevelWarn, "The backend server on this host did not renew its announcement.")
+		"A call ended without an answer from the backend server because it was canceled or its connection broke; "+
+			"the detail has the cause and whether the address accepts connections.")
+	UpstreamLost = add(312, "UpstreamLost", slog.LevelWarn, "The local backend server did not renew its announcement.")
 )
 
-// The backend server beside a sidecar.
+// The local backend server of a sidecar.
 var (
-	InstanceState   = add(313, "InstanceState", slog.LevelInfo, "The backend server on this host takes calls, or no longer does.")
+	InstanceState   = add(313, "InstanceState", slog.LevelInfo, "The local backend server started or stopped accepting calls.")
 	InstanceDoubted = add(314, "InstanceDoubted", slog.LevelWarn,
-		"A word of a backend server was not believed: it can't be read, another instance answers at its address, "+
-			"another start runs, or it is leaving.")
-	LeavingKept    = add(315, "LeavingKept", slog.LevelInfo, "The leaving of a backend server is kept for later processes and can be confirmed.")
+		"A notification of a backend server was ignored: it is invalid, another instance serves its address, "+
+			"another instance is running, or the instance is draining.")
+	LeavingKept    = add(315, "LeavingKept", slog.LevelInfo, "The departure of a backend server is recorded durably and can be confirmed.")
 	LeavingNotKept = add(316, "LeavingNotKept", slog.LevelWarn,
-		"The leaving of a backend server can't be kept yet; it is not confirmed, and tried again.")
-	GateAvoided = add(317, "GateAvoided", slog.LevelWarn, "A node or its backend server fails; calls go elsewhere for a while.")
+		"The departure of a backend server could not be recorded durably; it stays unconfirmed and the write is retried.")
+	GateAvoided = add(317, "GateAvoided", slog.LevelWarn,
+		"A gate node or its backend server is failing; calls are temporarily routed to other nodes.")
 )
 
-// Calls.
+// Call handling.
 var (
-	CallAnswered   = add(400, "CallAnswered", slog.LevelDebug, "A call got its answer.")
+	CallAnswered   = add(400, "CallAnswered", slog.LevelDebug, "A call received its answer.")
 	CallTurnedAway = add(401, "CallTurnedAway", slog.LevelDebug, "A call was given up; the caller has its final answer.")
-	CallRetried    = add(402, "CallRetried", slog.LevelDebug, "An attempt failed and another one is made.")
-	CallAbandoned  = add(404, "CallAbandoned", slog.LevelWarn, "The caller went away before the call ended.")
+	CallRetried    = add(402, "CallRetried", slog.LevelDebug, "An attempt failed and the call is retried.")
+	CallAbandoned  = add(404, "CallAbandoned", slog.LevelWarn, "The caller disconnected before the call ended.")
 	CallRun        = add(405, "CallRun", slog.LevelDebug,
-		"The node beside a backend server let a call in, or turned it away; the detail says with what result.")
+		"The gate node, on the backend server's host, admitted or rejected a call; the detail has the result.")
 	CallNotRun = add(406, "CallNotRun", slog.LevelWarn,
-		"The node beside a backend server did not run a call, or nobody knows whether it ran; the detail has what decided it.")
+		"The gate node did not run a call, or it is unknown whether the call ran; the detail has the cause.")
 	CallFailed = add(407, "CallFailed", slog.LevelWarn,
-		"A caller got no success: an answer of this node's own, with the reason, or the failure that the backend server gave.")
-	CallRunFailed  = add(408, "CallRunFailed", slog.LevelWarn, "The backend server ran a call and answered that it failed.")
+		"A call failed: either this node refused it and gave the reason, or the backend server returned a failure.")
+	CallRunFailed  = add(408, "CallRunFailed", slog.LevelWarn, "The backend server ran a call and returned a failure.")
 	CallSentNearby = add(409, "CallSentNearby", slog.LevelDebug,
-		"A call would wait at the node beside a backend server, and looks for a free slot nearby.")
+		"A call would have to wait at the gate node; the node looks for a free slot in the same failure domain.")
 	AnswerHeld = add(410, "AnswerHeld", slog.LevelDebug,
-		"An answer was ready and waited behind those to earlier calls of its connection.")
+		"An answer was ready but waited for the answers to earlier calls on its connection.")
 	AnswerUndelivered = add(411, "AnswerUndelivered", slog.LevelWarn,
-		"An answer could not be sent to a caller that waited for it; the detail says why, and how old the connection is.")
-	CallUnknown = add(403, "CallUnknown", slog.LevelWarn, "A call reached a backend server and no answer came; it is not sent again.")
+		"An answer could not be sent to a waiting caller; the detail has the cause and the age of the connection.")
+	CallUnknown = add(403, "CallUnknown", slog.LevelWarn, "A call reached a backend server and received no answer; it is not retried.")
 )
 
-// At most once.
+// At-most-once execution.
 var (
-	KeySettled      = add(500, "KeySettled", slog.LevelDebug, "The home of a key ended its record without an answer.")
-	KeyHomeLost     = add(501, "KeyHomeLost", slog.LevelWarn, "The home of a key can't be reached; the call was not forwarded.")
-	KeyAttemptLost  = add(502, "KeyAttemptLost", slog.LevelWarn, "An attempt got no answer and its gate would not close it; it is not sent again.")
-	ShardOwned      = add(510, "ShardOwned", slog.LevelInfo, "The node became the home of a shard of the opaque keys.")
-	EntryStoodStill = add(511, "EntryStoodStill", slog.LevelWarn, "The process stood still; opaque keys that it read just after are not forwarded.")
+	KeySettled      = add(500, "KeySettled", slog.LevelDebug, "The owner node of a key closed the key's record without an answer.")
+	KeyHomeLost     = add(501, "KeyHomeLost", slog.LevelWarn, "The owner node of a key is unreachable; the call was not forwarded.")
+	KeyAttemptLost  = add(502, "KeyAttemptLost", slog.LevelWarn, "An attempt received no answer and its gate did not close it; it is not retried.")
+	ShardOwned      = add(510, "ShardOwned", slog.LevelInfo, "The node became the owner of a shard of the opaque keys.")
+	EntryStoodStill = add(511, "EntryStoodStill", slog.LevelWarn,
+		"The process stalled; calls with opaque keys that it read right after the stall are not forwarded.")
 )
 
 // Poison requests.
 var (
-	PoisonSuspected = add(520, "PoisonSuspected", slog.LevelWarn, "A request was running when the backend server crashed.")
-	PoisonRefused   = add(521, "PoisonRefused", slog.LevelWarn, "A request that was running in crashes of backend servers was refused.")
-	PoisonUntold    = add(522, "PoisonUntold", slog.LevelWarn, "Another gate could not be told of a crash; it is told again until it knows.")
-	PoisonTold      = add(523, "PoisonTold", slog.LevelInfo, "A gate that could not be told of a crash knows of it now.")
-	PoisonAsked     = add(524, "PoisonAsked", slog.LevelInfo,
-		"The gate may have missed a warning and asked the others; the detail says who answered.")
+	PoisonSuspected = add(520, "PoisonSuspected", slog.LevelWarn, "A request was in flight when the backend server crashed.")
+	PoisonRefused   = add(521, "PoisonRefused", slog.LevelWarn, "A request that was in flight during crashes of backend servers was refused.")
+	PoisonUntold    = add(522, "PoisonUntold", slog.LevelWarn,
+		"Another gate could not be notified of a crash; the notification is retried until it succeeds.")
+	PoisonTold  = add(523, "PoisonTold", slog.LevelInfo, "A gate that could not be notified of a crash has now received the notification.")
+	PoisonAsked = add(524, "PoisonAsked", slog.LevelInfo,
+		"The gate may have missed a crash notification and queried the other gates; the detail has how many answered.")
 	PoisonJudged = add(525, "PoisonJudged", slog.LevelWarn,
-		"A request that was running in one crash was permitted to run once more, or not now; the detail says why.")
+		"A request that was in flight during one crash was permitted to run again, or not yet; the detail has the reason.")
 )
 
-// Faults of the program itself.
+// Invariant violations.
 var (
-	InvariantBroken = add(900, "InvariantBroken", slog.LevelError, "A promise that always holds was found broken; report it.")
+	InvariantBroken = add(900, "InvariantBroken", slog.LevelError, "The program violated one of its invariants; report it as a bug.")
 )
 
 var catalogue []Event
@@ -144,5 +150,5 @@
 	return e
 }
 
-// All returns the catalogue in the order of numbers.
+// All returns the catalogue in the order of declaration.
 func All() []Event { return append([]Event(nil), catalogue...) }
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -11,9 +11,9 @@
 	"github.com/pollencart/pollencart/internal/event"
 )
 
-// Operators look numbers up in docs/EVENTS.md; the page is the golden file of
-// the catalogue, so that neither changes without the other.
-func TestCatalogueIsThePage(t *testing.T) {
+// docs/EVENTS.md is the golden file of the catalogue, which keeps the page that
+// operators read in step with the code.
+func TestCatalogueMatchesEventsPage(t *testing.T) {
 	var b strings.Builder
 
 	b.WriteString("# Events\n\nEvery log line and every entry of the time line has one of these numbers.\n\n")
@@ -26,7 +26,7 @@
 	golden.Assert(t, b.String(), "../../../docs/EVENTS.md")
 }
 
-func TestNumbersAreUsedOnce(t *testing.T) {
+func TestEventNumbersAreUnique(t *testing.T) {
 	seen := map[int]string{}
 
 	for _, e := range event.All() {
