--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,16 +1,14 @@
-// Package logsink takes log lines from a process without ever holding it up, and
-// bounds how many there are.
+// Package logsink writes the log lines of a process in the background, so that
+// logging never blocks, and limits their rate.
 //
-// # What goes wrong without it
+// A process that writes directly to standard output blocks, with all its calls, when
+// the reader stalls and the pipe is full. At thousands of calls per second, the lines
+// of successful calls also cost more than the calls themselves.
 //
-// Whoever reads standard output may stand still. A process that writes to it
-// directly stops at the first full pipe, with all its calls. And at thousands of
-// calls a second the lines of calls that went well cost more than the calls.
-//
-// Lines wait in a queue of bounded length; what does not fit is dropped and
-// counted. Of the lines of calls that went well only some a second are written,
-// those of failures have a larger share of their own, and all others always are.
-// What was left out is told in a line of its own.
+// Lines wait in a bounded queue; a line that does not fit is dropped and counted.
+// Levels below Info (successful calls) and Warn (failures) each have a rate limit;
+// lines of all other levels pass. A LinesLeftOut line reports the number of dropped
+// lines.
 //
 // # Usage
 //
@@ -31,34 +29,34 @@
 )
 
 const (
-	// queued lines wait for a reader that stands still: two seconds of the most
-	// that is let through, about 250 bytes each.
-	queued = 4096
-	// DebugPerSecond is how many lines of calls that went well are written. They
-	// serve to compare failures with; a sample does.
+	// queueLength is the capacity of the queue in lines of about 250 bytes: two
+	// seconds of lines at the rate limits, while the reader stalls.
+	queueLength = 4096
+	// DebugPerSecond limits the lines of successful calls. A sample is enough, since
+	// the lines only serve for comparison with failures.
 	DebugPerSecond = 10
-	// WarnPerSecond bounds lines of failures. A call that fails is told by each node that
-	// it touched, up to five, and who looks for its cause needs all of them. The busiest
-	// second of a node of a third of a core had 335 such lines, after a restart of all with
-	// twice the calls that the backend servers take; this is six times that.
+	// WarnPerSecond limits the lines of failures. Up to five nodes log a failed call, and
+	// all of their lines are needed to find the cause. The limit is six times the measured
+	// peak of 335 lines per second, which a node with a third of a core logged after a
+	// restart of all nodes at twice the capacity of the backend servers.
 	WarnPerSecond = 2000
-	// reportEvery is the pause between lines that tell what was left out.
+	// reportEvery is the minimum interval between LinesLeftOut lines.
 	reportEvery = 5 * time.Second
 )
 
-// Sink writes lines in the background.
+// Sink queues log lines and writes them in the background.
 type Sink struct {
 	out   io.Writer
 	lines chan []byte
 
-	dropped atomic.Int64 // since the reader stood still
-	sampled atomic.Int64 // over the bounds
+	dropped atomic.Int64 // queue full, or the write failed
+	sampled atomic.Int64 // over a rate limit
 }
 
-// New returns a sink; Run writes.
-func New(out io.Writer) *Sink { return &Sink{out: out, lines: make(chan []byte, queued)} }
+// New returns a sink that writes to out; the caller must start Run.
+func New(out io.Writer) *Sink { return &Sink{out: out, lines: make(chan []byte, queueLength)} }
 
-// Write takes a line; it never blocks.
+// Write queues a copy of the line, or drops the line if the queue is full. It never blocks.
 func (s *Sink) Write(line []byte) (int, error) {
 	select {
 	case s.lines <- append([]byte(nil), line...):
@@ -69,11 +67,11 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were left out, for a reader that stood still and
-// for the bounds.
+// Dropped returns the number of lines that were dropped because the reader stalled
+// (unread) and because of the rate limits (sampled).
 func (s *Sink) Dropped() (unread, sampled int64) { return s.dropped.Load(), s.sampled.Load() }
 
-// Run writes lines until ctx ends, then those that wait.
+// Run writes lines until ctx ends, and then the lines that are still queued.
 func (s *Sink) Run(ctx context.Context) {
 	for {
 		select {
@@ -87,11 +85,11 @@
 	}
 }
 
-// write passes several lines that wait on in one piece.
+// write writes the line and queued lines after it, about 16 KiB at most, in one call.
 func (s *Sink) write(line []byte) {
-	const most = 16 << 10
+	const maxWrite = 16 << 10
 
-	for len(line) < most {
+	for len(line) < maxWrite {
 		select {
 		case next := <-s.lines:
 			line = append(line, next...)
@@ -104,7 +102,7 @@
 	}
 
 	if _, err := s.out.Write(line); err != nil {
-		s.dropped.Add(1) // there is nowhere else to tell
+		s.dropped.Add(1) // the output is the log itself, so the error can't be logged
 	}
 }
 
@@ -119,7 +117,7 @@
 	}
 }
 
-// Handler returns a handler of the lines from the level up.
+// Handler returns a handler for records of the given level and above.
 func (s *Sink) Handler(level slog.Level) slog.Handler {
 	return &handler{
 		Handler: slog.NewJSONHandler(s, &slog.HandlerOptions{Level: level}), sink: s,
@@ -127,7 +125,7 @@
 	}
 }
 
-// handler lets only so many lines of a level through.
+// handler applies the rate limits of the levels.
 type handler struct {
 	slog.Handler
 
@@ -136,7 +134,7 @@
 	report      *rate
 }
 
-// Handle writes a line unless there were too many of its level.
+// Handle writes a record unless its level has exceeded its rate limit.
 func (h *handler) Handle(ctx context.Context, r slog.Record) error {
 	if !h.allows(r.Level) {
 		h.sink.sampled.Add(1)
@@ -144,7 +142,7 @@
 		return nil
 	}
 
-	if err := h.tell(ctx); err != nil {
+	if err := h.reportDropped(ctx); err != nil {
 		return err
 	}
 
@@ -154,17 +152,17 @@
 func (h *handler) allows(level slog.Level) bool {
 	switch {
 	case level < slog.LevelInfo:
-		return h.debug.take()
+		return h.debug.allow()
 	case level == slog.LevelWarn:
-		return h.warn.take()
+		return h.warn.allow()
 	}
 
 	return true
 }
 
-// tell writes now and then what was left out.
-func (h *handler) tell(ctx context.Context) error {
-	if !h.report.every(reportEvery) {
+// reportDropped logs the number of dropped lines, at most once per reportEvery.
+func (h *handler) reportDropped(ctx context.Context) error {
+	if !h.report.onceEvery(reportEvery) {
 		return nil
 	}
 
@@ -179,7 +177,7 @@
 	return h.Handler.Handle(ctx, r)
 }
 
-// rate lets some through each second, by the steady clock.
+// rate is a rate limiter with windows of one second on the monotonic clock.
 type rate struct {
 	perSecond int
 
@@ -188,7 +186,7 @@
 	used  int
 }
 
-func (r *rate) take() bool {
+func (r *rate) allow() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -201,13 +199,13 @@
 	return r.used <= r.perSecond
 }
 
-// every reports true once in a pause.
-func (r *rate) every(pause time.Duration) bool {
+// onceEvery reports true at most once per interval.
+func (r *rate) onceEvery(interval time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	now := time.Now()
-	if now.Sub(r.since) < pause {
+	if now.Sub(r.since) < interval {
 		return false
 	}
 
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -15,16 +15,16 @@
 	"github.com/pollencart/pollencart/internal/logsink"
 )
 
-// reader is who reads the lines; it can stand still.
+// reader collects the written lines; Write blocks while stall is open.
 type reader struct {
 	mu    sync.Mutex
 	lines bytes.Buffer
-	still chan struct{}
+	stall chan struct{}
 }
 
 func (r *reader) Write(p []byte) (int, error) {
-	if r.still != nil {
-		<-r.still
+	if r.stall != nil {
+		<-r.stall
 	}
 
 	r.mu.Lock()
@@ -40,11 +40,11 @@
 	return strings.Count(r.lines.String(), text)
 }
 
-// Whoever reads standard output stands still. The calls that write lines go on, and
-// what was left out is told when the reader is back.
-func TestAReaderThatStandsStill(t *testing.T) {
+// The reader of standard output stalls and the queue fills up. Logging must not block,
+// and the number of dropped lines must be logged after the reader resumes.
+func TestLoggingDoesNotBlockOnStalledReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reader{still: make(chan struct{})}
+		r := &reader{stall: make(chan struct{})}
 		s := logsink.New(r)
 		ctx, cancel := context.WithCancel(context.Background())
 
@@ -62,7 +62,7 @@
 		unread, _ := s.Dropped()
 		assert.Assert(t, unread > 4000)
 
-		close(r.still)
+		close(r.stall)
 		synctest.Wait()
 		time.Sleep(10 * time.Second)
 		logger.Info("later")
@@ -73,9 +73,9 @@
 	})
 }
 
-// Twice the load, and all calls fail. Lines of calls that went well are a sample, lines
-// of failures have a bound of their own, all others are written.
-func TestTheVolumeIsBounded(t *testing.T) {
+// Under overload every call fails. Lines of successful calls and of failures must stay
+// within their own limits, and all other lines must be written.
+func TestRateLimitsApplyPerLevel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &reader{}
 		s := logsink.New(r)
@@ -105,11 +105,11 @@
 	})
 }
 
-// A node turns away twice as many calls in a second as it ever did in a run. Each may be
-// the one that a user complains of, and a call that no line speaks of can't be explained.
-func TestFailuresAreNotASample(t *testing.T) {
+// A node rejects twice the measured peak of 335 calls per second. The line of every
+// failure must be written, since a failed call without a line can't be explained.
+func TestFailuresAreNotSampled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const twice = 2 * 335
+		const failures = 2 * 335
 
 		r := &reader{}
 		s := logsink.New(r)
@@ -119,14 +119,14 @@
 
 		logger := slog.New(s.Handler(slog.LevelDebug))
 
-		for range twice {
+		for range failures {
 			logger.Warn("failed")
 			logger.Debug("well")
 			time.Sleep(time.Millisecond)
 		}
 
 		synctest.Wait()
-		assert.Equal(t, r.count(`"failed"`), twice)
+		assert.Equal(t, r.count(`"failed"`), failures)
 		cancel()
 		synctest.Wait()
 	})
