--- a/internal/idle/idle.go
+++ b/internal/idle/idle.go
@@ -1,4 +1,4 @@
-// Package idle waits without outliving its context.
+// Package idle provides waits that end early when their context ends.
 //
 //	idle.For(ctx, time.Second)
 //	if ctx.Err() != nil {
@@ -11,10 +11,12 @@
 	"time"
 )
 
-// For returns after the time, or as soon as ctx ends; at once if there is no time to wait.
+// For waits for d or until ctx ends, whichever comes first. It returns immediately if d is
+// not positive.
 func For(ctx context.Context, d time.Duration) { Unless(ctx, d, nil) }
 
-// Unless is For, which also returns when wake is closed, and whether it is.
+// Unless waits like For, but also returns as soon as wake is closed. It reports whether
+// wake is closed.
 func Unless(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	if d > 0 {
 		select {
@@ -27,7 +29,7 @@
 	return Closed(wake)
 }
 
-// Closed reports whether a channel that nothing is sent on is closed.
+// Closed reports whether wake is closed, without blocking. Nothing may be sent on wake.
 func Closed(wake <-chan struct{}) bool {
 	select {
 	case <-wake:
