--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,8 @@
 // Package config reads the settings file of one node.
 //
-// The file is JSON with comments. It tells the process what it can't learn from
-// anyone: its identity, its addresses, its failure domain, and whom to ask first.
+// The file is JSON with comments. It holds the settings that a node can't learn from
+// other nodes or the platform: its identity, its addresses, its failure domain and the
+// peers that it contacts first.
 //
 //	c, err := config.Load("node.jsonc")
 package config
@@ -19,7 +20,7 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// ErrConfig is returned for a file that can't be used.
+// ErrConfig is returned for a file that can't be read or holds an invalid value.
 var ErrConfig = errs.New("config.invalid", http.StatusBadRequest, "settings file not accepted")
 
 // Config is the settings file of one node.
@@ -66,25 +67,26 @@
 	Operators bool `json:"Operators"`
 }
 
-// Mode says what the spread of settings saves.
+// Mode selects how accepted versions of the settings propagate to the nodes.
 type Mode string
 
-// The modes.
+// Propagation modes.
 const (
-	// ModeFast spends bytes to be in force sooner.
+	// ModeFast sends more bytes so that versions become active sooner.
 	ModeFast Mode = "Fast"
-	// ModeFrugal spends time to send fewer bytes.
+	// ModeFrugal sends fewer bytes; versions become active later.
 	ModeFrugal Mode = "Frugal"
-	// ModePoll and ModeFullPush are baselines for measurements: every node polls
-	// the platform; watchers push the whole tree to each node of their domain.
+	// ModePoll and ModeFullPush are baselines for measurements. With ModePoll every node
+	// polls the platform; with ModeFullPush watchers push the whole tree to each node of
+	// their failure domain.
 	ModePoll     Mode = "Poll"
 	ModeFullPush Mode = "FullPush"
 )
 
-// defaultDrain is longer than the deadline of most routes.
+// defaultDrain exceeds the deadline of most routes, so that calls in flight can finish.
 const defaultDrain = 15 * time.Second
 
-// Default returns the values of keys that a file leaves out.
+// Default returns the configuration that applies to keys missing from the file.
 func Default() Config {
 	return Config{
 		Mode:         ModeFast,
@@ -93,7 +95,7 @@
 	}
 }
 
-// Load reads and checks a file.
+// Load reads, decodes and validates a file.
 func Load(file string) (Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -103,21 +105,21 @@
 	return Parse(file, data)
 }
 
-// Parse decodes and checks the text of a file.
+// Parse decodes and validates the contents of a file; errors name the file.
 func Parse(file string, data []byte) (Config, error) {
 	c := Default()
 	if err := jsonc.Decode(file, data, &c); err != nil {
 		return Config{}, err
 	}
 
-	if key, reason := c.fault(); key != "" {
+	if key, reason := c.validate(); key != "" {
 		return Config{}, ErrConfig.With("%s: key %s: %s", file, key, reason)
 	}
 
 	return c, nil
 }
 
-func (c Config) fault() (key, reason string) {
+func (c Config) validate() (key, reason string) {
 	for _, f := range []struct{ key, value string }{
 		{"ID", c.ID},
 		{"Region", c.Region},
@@ -133,13 +135,13 @@
 		{"CallerAddress", c.CallerAddress},
 		{"ControlAddress", c.ControlAddress},
 	} {
-		if reason := addressFault(f.value); reason != "" {
+		if reason := checkAddress(f.value); reason != "" {
 			return f.key, reason
 		}
 	}
 
 	for _, p := range c.Peers {
-		if reason := addressFault(p); reason != "" {
+		if reason := checkAddress(p); reason != "" {
 			return "Peers", reason
 		}
 	}
@@ -155,7 +157,7 @@
 	return "", ""
 }
 
-func addressFault(address string) string {
+func checkAddress(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return err.Error()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,18 +17,18 @@
 	assert.NilError(t, err)
 }
 
-func TestFaultsNameFileKeyAndReason(t *testing.T) {
+func TestErrorsNameFileKeyAndReason(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		is         error
 		says       string
 	}{
-		{"cut short", `{"ID": "a"`, jsonc.ErrSyntax, "node.jsonc"},
+		{"truncated file", `{"ID": "a"`, jsonc.ErrSyntax, "node.jsonc"},
 		{"unknown key", `{` + good + `, "Colour": 1}`, jsonc.ErrValue, `node.jsonc: unknown field "Colour"`},
 		{"wrong type", `{"ID": 7}`, jsonc.ErrValue, "node.jsonc: key ID: a number does not fit"},
 		{"missing key", `{"ID": "a"}`, config.ErrConfig, "node.jsonc: key Region: is missing"},
 		{"host name", `{` + good + `, "Peers": ["db:1"]}`, config.ErrConfig, `key Peers: "db" is not an IP number`},
-		{"no duration", `{` + good + `, "DrainTimeout": "soon"}`, jsonc.ErrValue, `"soon"`},
+		{"invalid duration", `{` + good + `, "DrainTimeout": "soon"}`, jsonc.ErrValue, `"soon"`},
 		{"mode", `{` + good + `, "Mode": "Slow"}`, config.ErrConfig, "key Mode: want Fast or Frugal"},
 		{"two values", `{} {}`, jsonc.ErrSyntax, "node.jsonc"},
 	} {
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -6,8 +6,7 @@
 	"github.com/pollencart/pollencart/internal/config"
 )
 
-// Whatever the file holds, parsing gives settings with all that is needed, or an
-// error.
+// For any input, Parse must return either an error or a configuration with the required keys.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{` + good + `} // comment`))
 	f.Add([]byte(`{` + good + `, "TLS": {"Certificate": "a"}, "DrainTimeout": "-1s"}`))
--- a/internal/config/reference_test.go
+++ b/internal/config/reference_test.go
@@ -19,24 +19,24 @@
 	"github.com/pollencart/pollencart/pkg/settings"
 )
 
-// Operators look keys up in docs/SETTINGS.md; the page is made from the structs
-// that the files are decoded into, so that neither changes without the other.
-// Run `go test ./internal/config -update` after changing a key.
-func TestReferenceIsThePage(t *testing.T) {
+// docs/SETTINGS.md is generated from the structs that the files are decoded into, which
+// keeps the reference in step with the code. Run `go test ./internal/config -update`
+// after changing a key or its comment.
+func TestReferenceMatchesSettingsPage(t *testing.T) {
 	var b strings.Builder
 
 	b.WriteString("# Settings reference\n\nMade from the code. Files are JSON with comments; an unknown key is refused.\n" +
 		"Durations are text such as `\"250ms\"`.\n\n## The file of a node\n\nRead once, at the start of `pollencart node`.\n")
 
 	s := parse(t, ".")
-	s.table(&b, "Config", jsonOf(t, config.Default()))
-	s.rest(&b)
+	s.writeTable(&b, "Config", jsonOf(t, config.Default()))
+	s.writeQueued(&b)
 
 	b.WriteString("\n## The tree\n\nEdited and accepted by operators; the root is a Branch.\n")
 
 	s = parse(t, "../../pkg/settings")
-	s.table(&b, "Branch", nil)
-	s.rest(&b)
+	s.writeTable(&b, "Branch", nil)
+	s.writeQueued(&b)
 
 	b.WriteString("\n### Values above the root\n\nWhat a route gets if no node of the tree overrides it.\n\n| key | value |\n| --- | --- |\n")
 
@@ -69,7 +69,8 @@
 	return out
 }
 
-// structs are the struct types of a package, and which of them were met.
+// structs holds the struct types of a package with their doc comments, and the types that
+// are queued for a table or have one.
 type structs struct {
 	types map[string]*ast.StructType
 	docs  map[string]string
@@ -118,9 +119,9 @@
 
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// table writes the keys of a struct; a comment over several keys in a row is
-// theirs together.
-func (s *structs) table(b *strings.Builder, name string, defaults map[string]any) {
+// writeTable writes the keys of a struct. A comment above several consecutive keys describes
+// all of them and appears at the first.
+func (s *structs) writeTable(b *strings.Builder, name string, defaults map[string]any) {
 	s.done[name] = true
 
 	fmt.Fprintf(b, "\n### %s\n\n%s\n\n| key | type | default | meaning |\n| --- | --- | --- | --- |\n", name, s.docs[name])
@@ -138,7 +139,7 @@
 		}
 
 		kind := types.ExprString(f.Type)
-		s.meet(kind)
+		s.enqueue(kind)
 		fmt.Fprintf(b, "| %s | %s | %s | %s |\n", key, kind, defaultOf(defaults[key]), oneLine(f.Doc.Text()))
 	}
 }
@@ -156,7 +157,7 @@
 	return "`" + string(data) + "`"
 }
 
-func (s *structs) meet(kind string) {
+func (s *structs) enqueue(kind string) {
 	kind = kind[strings.LastIndexAny(kind, "]*")+1:]
 	if _, known := s.types[kind]; known && !s.done[kind] {
 		s.done[kind] = true
@@ -164,11 +165,11 @@
 	}
 }
 
-// rest writes the structs that were met as types of keys.
-func (s *structs) rest(b *strings.Builder) {
+// writeQueued writes the tables of the structs that occur as types of keys.
+func (s *structs) writeQueued(b *strings.Builder) {
 	for len(s.queue) > 0 {
 		name := s.queue[0]
 		s.queue = s.queue[1:]
-		s.table(b, name, nil)
+		s.writeTable(b, name, nil)
 	}
 }
