--- a/internal/jsonc/jsonc.go
+++ b/internal/jsonc/jsonc.go
@@ -1,7 +1,7 @@
-// Package jsonc decodes JSON with comments strictly.
+// Package jsonc is a strict decoder for JSON with comments.
 //
-// Unknown keys are refused and every error names the file, the position or the
-// key, and the reason, so that an operator can mend a file without guessing.
+// Unknown keys are rejected. Every error names the file, the position or key, and the
+// reason, so that an operator can correct the file.
 //
 //	var c config.Config
 //	err := jsonc.Decode("node.jsonc", data, &c)
@@ -26,7 +26,7 @@
 // ErrValue is returned for an unknown key or a value of the wrong type.
 var ErrValue = errs.New("jsonc.value", http.StatusBadRequest, "key or value not accepted")
 
-// Decode decodes data, read from the named file, into out.
+// Decode decodes data into out. The file name is used only in errors.
 func Decode(file string, data []byte, out any) error {
 	std, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
