--- a/internal/credentials/credentials.go
+++ b/internal/credentials/credentials.go
@@ -1,14 +1,14 @@
-// Package credentials reads the keys with which nodes prove themselves, and reads
-// them again when the files change, so that they are rotated without a restart.
+// Package credentials loads the TLS certificates and keys with which nodes authenticate
+// to each other, and reloads changed files, so that keys rotate without a restart.
 //
 //	f := credentials.New(credentials.Files{Certificate: "node.pem", Key: "node.key", Authority: "fleet.pem"})
 //	err := f.Check()
 //	listener = tls.NewListener(listener, f.Server(true))
 //	conn = tls.Client(conn, f.Client())
 //
-// A certificate must come from the authority and name Name; its host's address
-// does not matter, since hosts are replaced at any time. While keys are rotated
-// the authority file holds the old and the new authority.
+// A certificate must be issued by the authority and be valid for the DNS name Name. The
+// address of the host is not checked, since hosts can be replaced at any time. During
+// a rotation the authority file holds both the old and the new authority.
 package credentials
 
 import (
@@ -24,29 +24,29 @@
 	"github.com/pollencart/pollencart/pkg/errs"
 )
 
-// Name is what every node's certificate names, as a DNS name.
+// Name is the DNS name for which every node's certificate is valid.
 const Name = "node.pollencart"
 
-// ErrFiles is returned for files that can't be used.
+// ErrFiles is returned for missing or invalid certificate, key and token files.
 var ErrFiles = errs.New("credentials.files", http.StatusInternalServerError, "keys can't be used")
 
-// Files are the names of the files, in PEM.
+// Files holds the paths of the PEM files.
 type Files struct {
-	// Certificate and Key prove this node.
+	// Certificate and Key authenticate this node.
 	Certificate string `json:"Certificate"`
 	Key         string `json:"Key"`
-	// Authority is what other nodes' certificates must come from.
+	// Authority holds the CA certificates that must have issued other nodes' certificates.
 	Authority string `json:"Authority"`
 }
 
-// Source gives what the files hold now.
+// Source provides the current contents of the files.
 type Source struct {
 	files Files
 
-	mu      sync.Mutex
-	current *keys
-	looked  time.Time
-	stamp   string
+	mu        sync.Mutex
+	current   *keys
+	lastCheck time.Time
+	stamp     string
 }
 
 type keys struct {
@@ -54,30 +54,30 @@
 	authority   *x509.CertPool
 }
 
-// New returns a source.
+// New returns a source for the files; they are loaded on first use.
 func New(f Files) *Source { return &Source{files: f} }
 
-// Check reports whether the files can be used.
+// Check returns an error if the files can't be loaded and no earlier keys are in use.
 func (s *Source) Check() error {
 	_, err := s.keys()
 
 	return err
 }
 
-// lookAgain is the pause between looks at the files' times.
-const lookAgain = time.Second
+// checkInterval is the minimum interval between checks of the files' modification times.
+const checkInterval = time.Second
 
-// keys returns the keys, read again if the files changed. New files that can't be
-// used, such as half-written ones, leave the old keys in use.
+// keys returns the current keys and reloads them if the files changed. If the new files
+// are invalid, such as partially written ones, the previous keys stay in use.
 func (s *Source) keys() (*keys, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if s.current != nil && time.Since(s.looked) < lookAgain {
+	if s.current != nil && time.Since(s.lastCheck) < checkInterval {
 		return s.current, nil
 	}
 
-	s.looked = time.Now()
+	s.lastCheck = time.Now()
 
 	stamp := s.stampOf()
 	if s.current != nil && stamp == s.stamp {
@@ -127,9 +127,9 @@
 	return &keys{certificate: certificate, authority: authority}, nil
 }
 
-// Server returns the configuration of a listener. With prove, whoever connects
-// must have a certificate of the authority before a byte is read from it.
-func (s *Source) Server(prove bool) *tls.Config {
+// Server returns the TLS configuration of a listener. With requireClientCert, a client must
+// present a certificate of the authority before the server reads application data.
+func (s *Source) Server(requireClientCert bool) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -139,7 +139,7 @@
 			}
 
 			c := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{k.certificate}}
-			if prove {
+			if requireClientCert {
 				c.ClientCAs, c.ClientAuth = k.authority, tls.RequireAndVerifyClientCert
 			}
 
@@ -148,7 +148,7 @@
 	}
 }
 
-// Client returns the configuration of a connection that is opened now.
+// Client returns the TLS configuration for a new outgoing connection, with the current keys.
 func (s *Source) Client() (*tls.Config, error) {
 	k, err := s.keys()
 	if err != nil {
@@ -161,13 +161,13 @@
 	}, nil
 }
 
-// Token is a secret in a file, read again for each question.
+// Token is a secret in a file, which is read on each use.
 type Token struct{ file string }
 
-// NewToken returns the token in the file.
+// NewToken returns the token that the file holds.
 func NewToken(file string) Token { return Token{file} }
 
-// Value returns the token.
+// Value reads the token from the file, without surrounding white space.
 func (t Token) Value() (string, error) {
 	data, err := os.ReadFile(t.file)
 	if err != nil {
@@ -182,9 +182,8 @@
 	return value, nil
 }
 
-// Allows reports whether a request's Authorization header carries the token. It
-// takes the same time whatever is wrong, so that a token can't be guessed piece
-// by piece.
+// Allows reports whether the Authorization header carries the token. The comparison takes
+// constant time, so that response times don't reveal parts of the token.
 func (t Token) Allows(header string) bool {
 	value, err := t.Value()
 	if err != nil {
--- a/internal/credentials/credentialstest/authority.go
+++ b/internal/credentials/credentialstest/authority.go
@@ -1,4 +1,4 @@
-// Package credentialstest makes keys for tests.
+// Package credentialstest issues certificates and keys for tests.
 //
 //	a := credentialstest.NewAuthority(t)
 //	files := a.Issue(t, dir)
@@ -22,7 +22,7 @@
 	"github.com/pollencart/pollencart/internal/credentials"
 )
 
-// Authority issues certificates.
+// Authority is a certificate authority for tests.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -58,8 +58,8 @@
 	return &Authority{c, key, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: data})}
 }
 
-// Issue writes a new certificate and its key to the folder, with the authorities
-// that it trusts, its own if none is given.
+// Issue writes a new certificate, its key and an authority file to dir. The authority
+// file holds the trusted authorities and a itself.
 func (a *Authority) Issue(t *testing.T, dir string, trusted ...*Authority) credentials.Files {
 	t.Helper()
 
