--- a/pkg/settings/tree.go
+++ b/pkg/settings/tree.go
@@ -16,12 +16,12 @@
 
 // Branch is the root, a region or a service.
 type Branch struct {
-	// Region makes the branch a region, Service a service of the branch's name.
+	// Region declares the branch as a region, Service as the service of its name.
 	Region  *Region  `json:"Region,omitempty" msgpack:"Region,omitempty"`
 	Service *Service `json:"Service,omitempty" msgpack:"Service,omitempty"`
-	// Overrides hold for everything below unless it overrides them again.
+	// Overrides apply to all descendants that do not override them.
 	Overrides Overrides `json:"Overrides,omitzero" msgpack:"Overrides"`
-	// Routes are leaves by name, Branches more branches by name.
+	// Routes are the routes and Branches the child branches, both by name.
 	Routes   map[string]Route  `json:"Routes,omitempty" msgpack:"Routes,omitempty"`
 	Branches map[string]Branch `json:"Branches,omitempty" msgpack:"-"`
 }
@@ -34,23 +34,23 @@
 
 // Service declares the service that has the name of its branch.
 type Service struct {
-	// Slots is how many calls one backend server runs at once, Connections how
-	// many connections it takes.
+	// Slots is the maximum number of concurrent calls of one backend server,
+	// Connections the maximum number of connections to it.
 	Slots       int `json:"Slots" msgpack:"Slots"`
 	Connections int `json:"Connections" msgpack:"Connections"`
 }
 
-// Route is a leaf: which requests it takes, and what it overrides.
+// Route is a leaf of the tree.
 type Route struct {
-	// Match says which requests it takes, Overrides what holds for them.
+	// Match selects requests, Overrides sets values for them.
 	Match     Match     `json:"Match" msgpack:"Match"`
 	Overrides Overrides `json:"Overrides,omitzero" msgpack:"Overrides"`
 }
 
-// Match says which requests a route takes.
+// Match selects the requests of a route.
 type Match struct {
-	// Method is the HTTP method; PathPrefix the start of the path: the longest
-	// one that fits wins.
+	// Method is the HTTP method and PathPrefix the prefix of the path. The route with
+	// the longest matching prefix is used.
 	Method     string `json:"Method" msgpack:"Method"`
 	PathPrefix string `json:"PathPrefix" msgpack:"PathPrefix"`
 }
--- a/pkg/settings/values.go
+++ b/pkg/settings/values.go
@@ -85,23 +85,24 @@
 	return c == ClassInteractive || c == ClassWrite || c == ClassBackground
 }
 
-// Overrides are the values that a node of the tree sets; nil inherits.
+// Overrides are the values that a tree node sets; nil fields are inherited.
 type Overrides struct {
-	// Service is where calls go; without it, to the nearest service above.
+	// Service is the service that runs the calls; by default the nearest enclosing
+	// service branch.
 	Service *string `json:"Service,omitempty" msgpack:"Service,omitempty"`
 	// Class is Interactive, Write or Background, most urgent first.
 	Class *Class `json:"Class,omitempty" msgpack:"Class,omitempty"`
-	// Idempotent calls may be run more than once; others are run at most once.
+	// Idempotent allows a call to run more than once; other calls run at most once.
 	Idempotent *bool `json:"Idempotent,omitempty" msgpack:"Idempotent,omitempty"`
-	// Deadline bounds a call from its arrival to its answer.
+	// Deadline is the maximum time from the arrival of a call to its answer.
 	Deadline *Duration `json:"Deadline,omitempty" msgpack:"Deadline,omitempty"`
-	// Attempts bounds how often one call is sent to a gate.
+	// Attempts is the maximum number of times that a call is sent to a gate node.
 	Attempts *int `json:"Attempts,omitempty" msgpack:"Attempts,omitempty"`
-	// RetryBudget bounds the attempts after the first, as a share of the calls.
+	// RetryBudget is the maximum ratio of retries to calls.
 	RetryBudget *float64 `json:"RetryBudget,omitempty" msgpack:"RetryBudget,omitempty"`
-	// BodyLimit bounds the body of a request, in bytes.
+	// BodyLimit is the maximum size of a request body in bytes.
 	BodyLimit *int `json:"BodyLimit,omitempty" msgpack:"BodyLimit,omitempty"`
-	// Queue bounds the calls that wait at one gate.
+	// Queue is the maximum number of calls that wait at one gate node.
 	Queue *int `json:"Queue,omitempty" msgpack:"Queue,omitempty"`
 }
 
