--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -20,8 +20,8 @@
 var (
 	NodeStarted  = add(100, "NodeStarted", slog.LevelInfo, "The process listens on its addresses.")
 	NodeReady    = add(101, "NodeReady", slog.LevelInfo, "The node has a stored version and accepts calls.")
-	NodeDraining = add(102, "NodeDraining", slog.LevelInfo, "A planned stop began; nothing new is let in.")
-	NodeStopped  = add(103, "NodeStopped", slog.LevelInfo, "The process ends; nothing is in flight.")
+	NodeDraining = add(102, "NodeDraining", slog.LevelInfo, "A graceful shutdown began; the node admits no new calls.")
+	NodeStopped  = add(103, "NodeStopped", slog.LevelInfo, "The process exits; no calls are in flight.")
 	NodeFailed   = add(104, "NodeFailed", slog.LevelError, "The process could not start or continue.")
 	NodePaused   = add(105, "NodePaused", slog.LevelWarn,
 		"The process stalled, for example because its host was paused; its suspicion timeouts start again.")
@@ -39,7 +39,7 @@
 // Settings and the platform that stores them.
 var (
 	VersionAccepted = add(200, "VersionAccepted", slog.LevelInfo, "The platform accepted a version from an operator.")
-	VersionInForce  = add(201, "VersionInForce", slog.LevelInfo, "The node answers with this version from now on.")
+	VersionInForce  = add(201, "VersionInForce", slog.LevelInfo, "This version is now active on the node.")
 	VersionRefused  = add(202, "VersionRefused", slog.LevelError,
 		"The node received a version that fails validation; the current version stays active.")
 	VersionOlder = add(203, "VersionOlder", slog.LevelWarn, "The node ignored a version that is lower than its current version.")
@@ -61,9 +61,9 @@
 
 // Fleet membership.
 var (
-	MemberJoined  = add(300, "MemberJoined", slog.LevelInfo, "A node became known.")
-	MemberSuspect = add(301, "MemberSuspect", slog.LevelWarn, "A node did not answer and is suspected.")
-	MemberDead    = add(302, "MemberDead", slog.LevelWarn, "A suspected node did not refute in time and is taken for dead.")
+	MemberJoined  = add(300, "MemberJoined", slog.LevelInfo, "The node learned of a new member.")
+	MemberSuspect = add(301, "MemberSuspect", slog.LevelWarn, "A node did not respond and is suspected of failure.")
+	MemberDead    = add(302, "MemberDead", slog.LevelWarn, "A suspected node did not refute the suspicion in time and is considered failed.")
 	MemberLeft    = add(303, "MemberLeft", slog.LevelInfo, "A node left voluntarily.")
 	MemberRefuted = add(304, "MemberRefuted", slog.LevelInfo,
 		"Other nodes suspected this node; it refuted the suspicion with a higher incarnation.")
@@ -94,7 +94,7 @@
 // Call handling.
 var (
 	CallAnswered   = add(400, "CallAnswered", slog.LevelDebug, "A call received its answer.")
-	CallTurnedAway = add(401, "CallTurnedAway", slog.LevelDebug, "A call was given up; the caller has its final answer.")
+	CallTurnedAway = add(401, "CallTurnedAway", slog.LevelDebug, "A call was rejected; the caller received a final refusal.")
 	CallRetried    = add(402, "CallRetried", slog.LevelDebug, "An attempt failed and the call is retried.")
 	CallAbandoned  = add(404, "CallAbandoned", slog.LevelWarn, "The caller disconnected before the call ended.")
 	CallRun        = add(405, "CallRun", slog.LevelDebug,
