--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,45 +25,46 @@
 
 // Config is the settings file of one node.
 type Config struct {
-	// ID names the node; it stays the same when the process is replaced.
+	// ID identifies the node; it stays the same when the process is replaced.
 	ID string `json:"ID"`
-	// Region and FailureDomain say where the host stands.
+	// Region and FailureDomain give the location of the host.
 	Region        string `json:"Region"`
 	FailureDomain string `json:"FailureDomain"`
-	// PeerAddress is for frames between nodes, CallerAddress for callers,
-	// ControlAddress for operators, the backend server and metrics.
+	// PeerAddress accepts connections from other nodes, CallerAddress from callers,
+	// ControlAddress from operators, the backend server and metrics collectors.
 	PeerAddress    string `json:"PeerAddress"`
 	CallerAddress  string `json:"CallerAddress"`
 	ControlAddress string `json:"ControlAddress"`
-	// Peers are peer addresses to ask first.
+	// Peers are the addresses of the nodes to contact first.
 	Peers []string `json:"Peers"`
 	// Platform are the base URLs of the key-value service.
 	Platform []string `json:"Platform"`
-	// Mode moves the trade between convergence time and control bytes.
+	// Mode sets the trade-off between convergence time and control traffic.
 	Mode Mode `json:"Mode"`
-	// DrainTimeout bounds a graceful stop.
+	// DrainTimeout limits the duration of a graceful shutdown.
 	DrainTimeout settings.Duration `json:"DrainTimeout"`
-	// FaultInjection lets experiments cut this node's links over the control
-	// address. It stays off where callers are served.
+	// FaultInjection lets experiments cut this node's links through the control
+	// address. Leave it off in production.
 	FaultInjection bool `json:"FaultInjection"`
-	// TLS are the keys of this node. Without them links are in the clear.
+	// TLS configures the certificates of this node. Without it, links are not encrypted.
 	TLS *TLS `json:"TLS"`
-	// OperatorTokenFile holds the token that operators must send; without it
-	// whoever reaches the control address is an operator.
+	// OperatorTokenFile is the file with the token that operators must send; without
+	// it, every client of the control address has operator access.
 	OperatorTokenFile string `json:"OperatorTokenFile"`
-	// LogLevel is debug, info, warn or error.
+	// LogLevel is the minimum level of log lines: debug, info, warn or error.
 	LogLevel string `json:"LogLevel"`
 }
 
-// TLS are the files of a node's keys, in PEM. They are read again when they change.
+// TLS configures the certificate, key and authority files of a node, in PEM. The files are
+// reloaded when they change.
 type TLS struct {
-	// Certificate and Key prove this node to others; the certificate names
-	// node.pollencart.
+	// Certificate and Key authenticate this node to other nodes; the certificate
+	// must be valid for the DNS name node.pollencart.
 	Certificate string `json:"Certificate"`
 	Key         string `json:"Key"`
-	// Authority is what other nodes' certificates must come from.
+	// Authority holds the CA certificates that must have issued other nodes' certificates.
 	Authority string `json:"Authority"`
-	// Operators turns TLS on for the control address too.
+	// Operators enables TLS on the control address as well.
 	Operators bool `json:"Operators"`
 }
 
